--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -9,10 +9,11 @@
 
 import pytest
 
-from rushroad.policy.interface import Limits, Member, Result, State
+from rushroad.policy.events import Endpoint, EndpointState, Result
+from rushroad.policy.settings import Limits
 from rushroad.proxy.engine import Attempt, Engine
 from rushroad.proxy.upstream import Ages, Servers
-from tests.helpers import ONCE, REPEATABLE, SETTINGS
+from tests.helpers import IDEMPOTENT, NOT_IDEMPOTENT, SETTINGS
 from tests.net import LOCAL, Heard, Late, Peer, resp, run
 
 OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$18\r\ninflight=7,queue=2\r\n"
@@ -23,7 +24,7 @@
 class Stub:
     """A call with a command of any size."""
 
-    def __init__(self, size: int = 10, cls: int = REPEATABLE) -> None:
+    def __init__(self, size: int = 10, cls: int = IDEMPOTENT) -> None:
         self.size, self.cls = size, cls
 
     def has_left(self) -> bool:
@@ -44,8 +45,10 @@
     monkeypatch.setattr("rushroad.proxy.upstream.SETTLE", 0.0)
 
 
-def at(port: int, state: State = State.READY, started: int = 0) -> list[tuple[Member, tuple[str, int]]]:
-    return [(Member("s-1", state, started_at=started), (LOCAL, port))]
+def at(
+    port: int, state: EndpointState = EndpointState.READY, started: int = 0
+) -> list[tuple[Endpoint, tuple[str, int]]]:
+    return [(Endpoint("s-1", state, started_at=started), (LOCAL, port))]
 
 
 class Bench:
@@ -57,7 +60,7 @@
         self.servers = Servers(cast(Engine, self.heard), FAST, 60_000_000, most, loop)
         self.servers.update(at(port), True)
 
-    def send(self, timeout: int = LONG, size: int = 10, cls: int = REPEATABLE) -> Attempt:
+    def send(self, timeout: int = LONG, size: int = 10, cls: int = IDEMPOTENT) -> Attempt:
         self.next += 1
         attempt = Attempt(self.next, 0, "s-1", held(size, cls), self.heard.clock.now())
         self.servers.send(attempt, timeout)
@@ -78,12 +81,12 @@
         (b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", (Result.OK, b"", ())),
         (b"-ERR failed\r\n", (Result.ERROR, b"", ())),
         (b"-ERR failed inflight=1,queue=3\r\n", (Result.ERROR, b"", (3.0, 1.0))),
-        (b"-BUSY\r\n", (Result.FULL, b"", ())),
-        (b"-BUSY inflight=1,queue=3\r\n", (Result.FULL, b"", (3.0, 1.0))),
-        (b"-BUSY inflight=nan,queue=3\r\n", (Result.FULL, b"", ())),
-        (b"-BUSY inflight=-1,queue=3\r\n", (Result.FULL, b"", ())),
-        (b"-BUSY used=37,cost=4\r\n", (Result.FULL, b"", ())),
-        (b"-BUSY used=x inflight=1,queue=3\r\n", (Result.FULL, b"", (3.0, 1.0))),
+        (b"-BUSY\r\n", (Result.OVERLOADED, b"", ())),
+        (b"-BUSY inflight=1,queue=3\r\n", (Result.OVERLOADED, b"", (3.0, 1.0))),
+        (b"-BUSY inflight=nan,queue=3\r\n", (Result.OVERLOADED, b"", ())),
+        (b"-BUSY inflight=-1,queue=3\r\n", (Result.OVERLOADED, b"", ())),
+        (b"-BUSY used=37,cost=4\r\n", (Result.OVERLOADED, b"", ())),
+        (b"-BUSY used=x inflight=1,queue=3\r\n", (Result.OVERLOADED, b"", (3.0, 1.0))),
         (b"-ERR failed cost=4\r\n", (Result.ERROR, b"", ())),
         (b"-used=3\r\n", (Result.ERROR, b"", ())),
         (b"-BUSY odd used=3\r\n", (Result.ERROR, b"", ())),
@@ -218,8 +221,10 @@
     run(scenario)
 
 
-@pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
-def test_a_connection_that_comes_up_after_its_server_was_told_off_carries_nothing(state: State) -> None:
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
+def test_a_connection_that_comes_up_after_its_server_was_told_off_carries_nothing(
+    state: EndpointState,
+) -> None:
     # Also within the grace: it counts from when the agent had the news, and this gateway may have it later.
     async def scenario() -> None:
         async with Peer() as peer:
@@ -246,7 +251,7 @@
             await late.asked.wait()
             bench.servers.update(at(peer.port, started=7), False)
             late.go_on.set()
-            assert await bench.end() == (1, Result.NOT_SENT)
+            assert await bench.end() == (1, Result.NOT_FORWARDED)
             assert (await peer.hear())[1] == b""
 
     run(scenario)
@@ -323,7 +328,7 @@
             bench.send()
             writer, _ = await peer.hear()
             bench.send()
-            assert await bench.end() == (2, Result.NOT_SENT)
+            assert await bench.end() == (2, Result.NOT_FORWARDED)
             writer.write(OK)
             assert await bench.end() == (1, Result.OK)
 
@@ -464,7 +469,7 @@
             bench = Bench(peer.port)
             bench.send()
             writer, _ = await peer.hear()
-            bench.servers.update(at(peer.port, State.GONE), False)
+            bench.servers.update(at(peer.port, EndpointState.REMOVED), False)
             bench.servers._sweep()
             assert set(bench.servers._pools) == {"s-1"}
             writer.write(OK)
@@ -497,7 +502,7 @@
             ),
         )
         bench.send()
-        assert await bench.end() == (1, Result.NOT_SENT)
+        assert await bench.end() == (1, Result.NOT_FORWARDED)
 
     run(scenario)
 
@@ -541,7 +546,7 @@
             bench.send()
             writer = await heard(peer, OK)
             await bench.end()
-            bench.send(cls=ONCE)
+            bench.send(cls=NOT_IDEMPOTENT)
             assert await heard(peer, OK) is not writer
             assert (await bench.end())[1] is Result.OK
 
--- a/tests/test_shared_count.py
+++ b/tests/test_shared_count.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from rushroad.policy.actions import CounterAdd
 from rushroad.policy.counter_window import SharedCount
-from rushroad.policy.interface import Count
 from tests.helpers import MS, SECOND, START, Totals
 
 LENGTH, MARGIN = 8 * SECOND, 80 * MS
@@ -59,7 +59,7 @@
         who = chance.randrange(2)
         count, at = (right, now) if who == 0 else (wrong, now + step)
         count.enter(at)
-        total = totals.add(Count(NAME, 1.0, count.life(at)), now)
+        total = totals.add(CounterAdd(NAME, 1.0, count.life(at)), now)
         others, _ = count.hear(1.0, total, at)
         heard[who] += others
         added[who] += 1.0
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -4,7 +4,13 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-NO_DECISIONS = {"__init__.py", "interface.py", "settings_reader.py"}  # messages, settings
+NO_DECISIONS = {
+    "__init__.py",
+    "actions.py",
+    "events.py",
+    "settings.py",
+    "settings_reader.py",
+}  # messages, settings
 
 
 def test_all_that_decides_is_named_as_policy_and_no_line_is_too_long() -> None:
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -16,7 +16,17 @@
 
 import pytest
 
-from rushroad.policy import interface as api
+from rushroad.policy.actions import Action, CounterAdd, SetTimer, StartAttempt
+from rushroad.policy.events import (
+    AttemptOutcome,
+    ClientDisconnected,
+    CounterReply,
+    EndpointUpdate,
+    Event,
+    Request,
+    Result,
+    TimerFired,
+)
 from rushroad.proxy import discovery, engine
 from rushroad.proxy.client_connection import MOST_OPEN, Clients, Connection
 from rushroad.proxy.discovery import Discovery
@@ -34,20 +44,20 @@
 CROWD = 400  # clients that idle: more than there are descriptors
 TOLD = 6.0  # seconds after which what discovery has counts as told
 ALLOWED = 0.1  # seconds after a close in which an attempt may still begin
-Script = Callable[[api.Event], Iterator[api.Action]]
+Script = Callable[[Event], Iterator[Action]]
 
 
-def send_after_waits(event: api.Event) -> Iterator[api.Action]:
+def send_after_waits(event: Event) -> Iterator[Action]:
     """A count, a first attempt, a pause after its outcome, a further attempt."""
     match event:
-        case api.Request():
-            yield api.Count(event.id, 1.0, 1_000)
-        case api.Counted():
-            yield api.Send(event.name, "s-1", LONG)
-        case api.Outcome(final=False):
-            yield api.SetTimer(0, event.request)
-        case api.Timer():
-            yield api.Send(event.token, "s-1", LONG)
+        case Request():
+            yield CounterAdd(event.id, 1.0, 1_000)
+        case CounterReply():
+            yield StartAttempt(event.name, "s-1", LONG)
+        case AttemptOutcome(final=False):
+            yield SetTimer(0, event.request_id)
+        case TimerFired():
+            yield StartAttempt(event.token, "s-1", LONG)
 
 
 class Noted:
@@ -79,7 +89,7 @@
         """All totals, with no turn of the loop between them."""
         asked, self.asked = self.asked, []
         for name in asked:
-            self.engine.post(api.Counted(name, api.Result.OK, 0, 1.0))
+            self.engine.post(CounterReply(name, Result.OK, 0, 1.0))
 
 
 class Line:
@@ -163,36 +173,36 @@
 
 def ended() -> int:
     """Requests that the module has been told to forget."""
-    return sum(isinstance(event, api.Expired) for event in Module.events)
+    return sum(isinstance(event, ClientDisconnected) for event in Module.events)
 
 
 @pytest.mark.parametrize("abrupt", [True, False])
 @pytest.mark.parametrize(
     ("wait", "requests"),
-    [(api.Request, 3), (api.Counted, 1), (api.Counted, 200), (api.Outcome, 1), (api.Timer, 1)],
+    [(Request, 3), (CounterReply, 1), (CounterReply, 200), (AttemptOutcome, 1), (TimerFired, 1)],
 )
 def test_no_attempt_begins_once_its_client_has_closed(
-    monkeypatch: pytest.MonkeyPatch, wait: type[api.Event], requests: int, abrupt: bool
+    monkeypatch: pytest.MonkeyPatch, wait: type[Event], requests: int, abrupt: bool
 ) -> None:
     # The close comes while the module is at work: the loop has no turn to read it before the next action.
     leaving: list[socket.socket] = []
 
-    def script(event: api.Event) -> Iterator[api.Action]:
+    def script(event: Event) -> Iterator[Action]:
         if isinstance(event, wait) and leaving:
             leave(leaving.pop(), abrupt)
         yield from send_after_waits(event)
 
     async def scenario(line: Line) -> None:
         taken = min(requests, MOST_OPEN)
-        if wait is api.Request:
+        if wait is Request:
             leaving.append(line.client)
         with line.connect() as other:
             line.client.sendall(b"".join(call(2 + number) for number in range(requests)))
             await until(lambda: len(line.counts.asked) == taken)
-            if wait is api.Counted:
+            if wait is CounterReply:
                 leaving.append(line.client)
             line.counts.tell()
-            if wait in (api.Outcome, api.Timer):
+            if wait in (AttemptOutcome, TimerFired):
                 writer, _ = await line.peer.hear()
                 leaving.append(line.client)
                 writer.write(b"-ERR failed\r\n")
@@ -226,8 +236,8 @@
 ) -> None:
     leaving: list[socket.socket] = []
 
-    def script(event: api.Event) -> Iterator[api.Action]:
-        if isinstance(event, api.Counted) and leaving:
+    def script(event: Event) -> Iterator[Action]:
+        if isinstance(event, CounterReply) and leaving:
             leave(leaving.pop(), abrupt)
         yield from send_after_waits(event)
 
@@ -385,7 +395,7 @@
         await sleep(0)
 
     async def scenario() -> None:
-        told, loop = asyncio.Queue[api.Members](), asyncio.get_running_loop()
+        told, loop = asyncio.Queue[EndpointUpdate](), asyncio.get_running_loop()
         with socket.socket() as agent:
             agent.bind((LOCAL, 0))  # it does not listen: connects are refused
             agent.setblocking(False)
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -18,10 +18,10 @@
 
 
 async def serve_in_turn(client: Client, numbers: range) -> int:
-    """How many of these requests were served, each of another customer."""
+    """How many of these requests were served, each of another tenant."""
     served = 0
     for number in numbers:
-        client.writer.write(call(number, 3_000, customer=number))
+        client.writer.write(call(number, 3_000, tenant=number))
         served += await client.answer() == b"%016x" % number
     return served
 
@@ -77,7 +77,7 @@
             while loop.time() - began < 3.0:
                 for client in clients:
                     request += 1
-                    client.writer.write(call(request, 3_000, customer=9, spread=3))
+                    client.writer.write(call(request, 3_000, tenant=9, spread=3))
                     served += await client.answer() == b"%016x" % request
             allowed = BURST + RATE * (loop.time() - began)
             assert served > BURST / 2
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -23,7 +23,7 @@
     """One client's requests, one after the other."""
     client = await world.connect()
     for request in range(number * REQUESTS, (number + 1) * REQUESTS):
-        client.writer.write(call(request, PATIENCE_MS, customer=number))
+        client.writer.write(call(request, PATIENCE_MS, tenant=number))
         async with asyncio.timeout(PATIENCE_MS / 1e3 + 1.0):
             answer = await client.answer()
         answers[b"served" if answer == b"%016x" % request else answer] += 1
--- a/tests/test_time_told.py
+++ b/tests/test_time_told.py
@@ -27,7 +27,7 @@
             await world.ready()
             client, loop = await world.connect(), asyncio.get_running_loop()
             numbers = range(commands)
-            client.writer.write(b"".join(call(number, PATIENCE_MS, customer=number) for number in numbers))
+            client.writer.write(b"".join(call(number, PATIENCE_MS, tenant=number) for number in numbers))
             sent = loop.time()
             answered = []
             for _ in numbers:
--- a/tests/test_true_units.py
+++ b/tests/test_true_units.py
@@ -35,7 +35,7 @@
             began, served = loop.time(), 0
             for request in range(40):
                 client = clients[request % gateways]
-                client.writer.write(call(request, 3_000, customer=9, spread=gateways))
+                client.writer.write(call(request, 3_000, tenant=9, spread=gateways))
                 served += await client.answer() == b"%016x" % request
             allowed = (BURST + RATE * (loop.time() - began)) / TRUE
             assert 0 < served <= allowed + gateways  # each learns of its last one's true units afterwards
@@ -61,7 +61,7 @@
     async def scenario() -> None:
         heard, loop = Heard(), asyncio.get_running_loop()
         async with Peer() as peer:
-            servers = Servers(cast(Engine, heard), replace(FAST, units_settle=True), 60_000_000, 8, loop)
+            servers = Servers(cast(Engine, heard), replace(FAST, settles_units=True), 60_000_000, 8, loop)
             servers.update(at(peer.port), True)
             servers.send(Attempt(1, 0, "s-1", held(10, 0), 0), LONG)
             await peer.answer(b"*3\r\n$5\r\nvalue\r\n$%d\r\n%b\r\n$-1\r\n" % (len(figures), figures))
--- a/tests/world.py
+++ b/tests/world.py
@@ -198,7 +198,7 @@
 def call(
     request: int,
     patience: int,
-    customer: int = 7,
+    tenant: int = 7,
     spread: int = 1,
     name: bytes = b"quote",
     units: int = 1,
@@ -206,7 +206,7 @@
 ) -> bytes:
     """A request with this many milliseconds left to its client; a body only where it is not `quote`."""
     terms = b"c=%b,t=small,d=%d,units=%d,spread=%d,first=0" % (name, patience, units, spread)
-    words = [b"CALL.GET" if name == b"quote" else b"CALL.POST", b"%016x" % customer, b"%016x" % request]
+    words = [b"CALL.GET" if name == b"quote" else b"CALL.POST", b"%016x" % tenant, b"%016x" % request]
     return resp.pack([*words, terms] if name == b"quote" else [*words, terms, body])
 
 
