--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -18,14 +18,14 @@
 
 from rushroad.policy.events import EndpointUpdate, UpdateKind
 from rushroad.policy.settings_reader import Names, read_names, read_settings
-from rushroad.proxy.client_connection import Clients, Terms
-from rushroad.proxy.counter_client import Counter
-from rushroad.proxy.discovery import UNREADABLE, Discovery, Line, Lists, News, read_address
+from rushroad.proxy.client_connection import ClientListener, Terms
+from rushroad.proxy.counter_client import CounterClient
+from rushroad.proxy.discovery import UNREADABLE, Discovery, EndpointDecoder, Line, News, read_address
 from rushroad.proxy.engine import Engine
 from rushroad.proxy.json_splitter import Cutter
 from rushroad.proxy.nonblocking_log import log
 from rushroad.proxy.transient_errors import AGAIN, PASSING, START_PATIENCE, persist
-from rushroad.proxy.upstream import Servers
+from rushroad.proxy.upstream import Upstream
 
 FIRST_NEWS = 0.3  # seconds that a start waits for discovery before it goes by the list it had last
 FREEZE = 10_000  # entries of the list: a collection that looks at them takes some 2 ms
@@ -61,7 +61,7 @@
     return objects[0]
 
 
-async def move(discovery: Discovery, counter: Counter | None) -> None:
+async def move(discovery: Discovery, counter: CounterClient | None) -> None:
     """Go by the addresses in the new file. One that can't be read changes nothing."""
     try:
         config = await persist(read_config, MOVE_PATIENCE, MOVE_PASSING)
@@ -75,7 +75,7 @@
         counter.move(counter_at)
 
 
-async def follow(hangup: asyncio.Event, discovery: Discovery, counter: Counter | None) -> None:
+async def follow(hangup: asyncio.Event, discovery: Discovery, counter: CounterClient | None) -> None:
     """Each SIGHUP, one after the other."""
     while True:
         await hangup.wait()
@@ -103,7 +103,7 @@
 
 async def read_known(names: Names, memory: int, news: News) -> int:
     """Tell the list as this gateway last had it; its version, or 0 where discovery has to tell all of it."""
-    lists = Lists(names, memory, UpdateKind.CACHED_SNAPSHOT, ("known",))
+    lists = EndpointDecoder(names, memory, UpdateKind.CACHED_SNAPSHOT, ("known",))
     version = 0
     try:
         for data in read_file():
@@ -134,18 +134,18 @@
 
     seed = int(config["seed"], 16)
     engine = Engine(settings, seed, loop)
-    servers = engine.backend = Servers(engine, settings, names.idle, most, loop)
+    servers = engine.backend = Upstream(engine, settings, names.idle, most, loop)
     counter = None
     if settings.counter is not None:
-        counter = Counter(read_address(config["counter"]), settings.counter.timeout, engine.post, loop)
+        counter = CounterClient(read_address(config["counter"]), settings.counter.timeout, engine.post, loop)
         engine.counter = counter
-    clients = Clients(engine, Terms.of(settings, names), sockets - most, loop)
+    clients = ClientListener(engine, Terms.of(settings, names), sockets - most, loop)
 
     freezer = Freezer(loop)
 
     def news(members: EndpointUpdate, lines: list[Line]) -> None:
-        servers.update(lines, members.kind is not UpdateKind.DELTA, members.first, members.last)
-        engine.news(members)
+        servers.update_endpoints(lines, members.kind is not UpdateKind.DELTA, members.first, members.last)
+        engine.endpoints_updated(members)
         freezer.note(len(lines))
 
     version = await persist(lambda: read_known(names, memory, news))
--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -93,7 +93,7 @@
 
     __slots__ = (
         "arrived",
-        "cls",
+        "class_index",
         "connection",
         "tenant",
         "first",
@@ -126,11 +126,11 @@
                 raise BadCall("bad list")
             given[name] = value
         try:
-            self.cls, self.plan = terms.classes[given[b"c"]], terms.plans[given[b"t"]]
+            self.class_index, self.plan = terms.classes[given[b"c"]], terms.plans[given[b"t"]]
             self.patience = int(given[b"d"])
         except KeyError:
             raise BadCall("missing or unknown class, plan or d") from None
-        if terms.unsafe[self.cls] is not (words[0] == b"CALL.POST"):
+        if terms.unsafe[self.class_index] is not (words[0] == b"CALL.POST"):
             raise BadCall("wrong command for the class")
         if not TENANT.fullmatch(words[1]) or (tenant := int(words[1], 16)) >= TENANTS:
             raise BadCall("bad customer")
@@ -176,7 +176,7 @@
 
     FULL, PACED, UNREAD = 1, 2, 4  # why nothing is taken from it for now
 
-    def __init__(self, clients: Clients, descriptor: int, waited_since: float | None = None) -> None:
+    def __init__(self, clients: ClientListener, descriptor: int, waited_since: float | None = None) -> None:
         """waited_since: when it may have come, where it could not be accepted at once."""
         self._clients, self.descriptor = clients, descriptor
         self._reader = resp.Reader(MOST_WORDS)
@@ -358,7 +358,7 @@
         queue, self.queue = self.queue, deque()
         for call in queue:
             if call.request:
-                self._clients.engine.gone(call.request)
+                self._clients.engine.client_disconnected(call.request)
 
     def eof_received(self) -> None:
         """The client has closed. What has been answered is still written, then the transport closes."""
@@ -397,7 +397,7 @@
         self.leave()
 
 
-class Clients:
+class ClientListener:
     """The listener and all its connections."""
 
     def __init__(self, engine: Engine, terms: Terms, most: int, loop: asyncio.AbstractEventLoop) -> None:
--- a/rushroad/proxy/counter_client.py
+++ b/rushroad/proxy/counter_client.py
@@ -34,7 +34,7 @@
 class _Connection(asyncio.Protocol):
     """One connection, and the calls on it in order."""
 
-    def __init__(self, counter: Counter) -> None:
+    def __init__(self, counter: CounterClient) -> None:
         self._counter = counter
         self._buffer = b""
         self._unwritten = False
@@ -102,7 +102,7 @@
             self._counter.end(call, Result.RESET)
 
 
-class Counter:
+class CounterClient:
     """The counter service, as the module calls it."""
 
     def __init__(
--- a/rushroad/proxy/discovery.py
+++ b/rushroad/proxy/discovery.py
@@ -138,7 +138,7 @@
     last: bool  # the list ends with it
 
 
-class Lists:
+class EndpointDecoder:
     """Reads lists in discovery's form out of their text as it comes, in parts of at most PART entries.
 
     A part is told as soon as it can be read. Where the rest of its list turns out to be spoilt, or never
@@ -256,7 +256,7 @@
     def __init__(self, discovery: Discovery) -> None:
         self._discovery = discovery
         self._http = h11.Connection(h11.CLIENT)
-        self._lists = Lists(discovery.names, discovery.memory)
+        self._lists = EndpointDecoder(discovery.names, discovery.memory)
         self._heard = False  # something of what it tells has come
         self._working = False  # parts that have come wait for their turns
         self._ended = False  # nothing more comes
@@ -288,7 +288,7 @@
         transport.write((self._http.send(request) or b"") + (self._http.send(h11.EndOfMessage()) or b""))
 
     def data_received(self, data: bytes) -> None:
-        """Lists, and blank lines as heartbeats; anything else ends the watch."""
+        """EndpointDecoder, and blank lines as heartbeats; anything else ends the watch."""
         if self._dropped:
             return
         if self._timer is not None:
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -42,7 +42,7 @@
 
     id: bytes
     arrived: float  # when its last byte came; seconds of the monotonic clock, which the loop's is
-    cls: int
+    class_index: int
     plan: int
     tenant: int
     units: float
@@ -70,8 +70,8 @@
 class Backend(Protocol):
     """Where attempts go."""
 
-    def send(self, attempt: Attempt, timeout: int) -> None:
-        """Start an attempt; exactly one `Engine.finished` follows."""
+    def start(self, attempt: Attempt, timeout: int) -> None:
+        """Start an attempt; exactly one `Engine.attempt_finished` follows."""
 
     def cancel(self, attempt: Attempt) -> None:
         """Give an attempt up."""
@@ -91,21 +91,21 @@
 class Attempt:
     """One sending of a request to a server."""
 
-    request: int
+    request_id: int
     number: int
-    server: str
-    held: Open
-    started: int
-    over: bool = False
+    endpoint: str
+    in_flight: InFlightRequest
+    started_at: int
+    finished: bool = False
 
     @property
     def call(self) -> Call:
         """The client's request."""
-        return self.held.call
+        return self.in_flight.call
 
 
 @dataclass(slots=True, eq=False)
-class Open:
+class InFlightRequest:
     """A request that is owed its final answer."""
 
     call: Call
@@ -138,7 +138,7 @@
         self._loop = loop
         self._module = Gateway(settings, seed, self.clock.now())
         self._ids = itertools.count(1)
-        self._open: dict[int, Open] = {}
+        self._open: dict[int, InFlightRequest] = {}
         self._taken: set[bytes] = set()  # ids of requests that are open, or have attempts out
         self._out: dict[tuple[int, int], Attempt] = {}
         self._news: deque[Event] = deque()
@@ -148,27 +148,27 @@
     # --- what the sockets tell --------------------------------------------------------------------------
 
     def submit(self, call: Call) -> int:
-        """Take a request; the number is for `gone`. 0: its id is that of another one, and it is not taken."""
+        """Take a request; returns its number, or 0 where its id is in flight; then it is not taken."""
         if call.id in self._taken:
             return 0
         self._taken.add(call.id)
         request = next(self._ids)
         # Nobody waits for longer than the class's deadline, whatever a client says.
-        patience = min(call.patience * 1_000, self._settings.request_classes[call.cls].deadline)
+        patience = min(call.patience * 1_000, self._settings.request_classes[call.class_index].deadline)
         waited = max(0, int((time.monotonic() - call.arrived) * 1e6))
         left = max(0, patience - WAY - waited)
         deadline = self._loop.call_later((left + LATE) / 1e6, self._outlived, request)
-        self._open[request] = Open(call, self.clock.now() + left, deadline)
+        self._open[request] = InFlightRequest(call, self.clock.now() + left, deadline)
         extras = (call.units, left, call.spread, call.first, call.retry)
-        self.post(Request(request, call.cls, call.plan, call.tenant, *extras))
+        self.post(Request(request, call.class_index, call.plan, call.tenant, *extras))
         return request
 
-    def gone(self, request: int) -> None:
+    def client_disconnected(self, request: int) -> None:
         """The client has left."""
         if self._close(request) is not None:
             self.post(ClientDisconnected(request))
 
-    def news(self, members: EndpointUpdate) -> None:
+    def endpoints_updated(self, members: EndpointUpdate) -> None:
         """The list of servers has changed. It goes before all that is queued: sends rely on it."""
         self._news.append(members)
         self._schedule()
@@ -178,7 +178,7 @@
         self._events.append(event)
         self._schedule()
 
-    def finished(
+    def attempt_finished(
         self,
         attempt: Attempt,
         result: Result,
@@ -187,20 +187,20 @@
         true_units: float | None = None,
     ) -> None:
         """An attempt has ended. The first good answer goes to the client, and its true units count."""
-        if attempt.over:
+        if attempt.finished:
             return
-        attempt.over = True
-        self._out.pop((attempt.request, attempt.number), None)
-        attempt.held.out -= 1
+        attempt.finished = True
+        self._out.pop((attempt.request_id, attempt.number), None)
+        attempt.in_flight.out -= 1
         first_good = False
-        if result is Result.OK and (closed := self._close(attempt.request)) is not None:
+        if result is Result.OK and (closed := self._close(attempt.request_id)) is not None:
             first_good = True
             closed.call.served(value)
-        self._forget_id(attempt.held)
-        elapsed = self.clock.now() - attempt.started
-        final = attempt.held.over
+        self._forget_id(attempt.in_flight)
+        elapsed = self.clock.now() - attempt.started_at
+        final = attempt.in_flight.over
         units = true_units if first_good else None
-        ids = (attempt.request, attempt.number, attempt.server)
+        ids = (attempt.request_id, attempt.number, attempt.endpoint)
         self.post(AttemptOutcome(*ids, result, elapsed, final, actual_units=units, load_report=load))
 
     # --- events and actions -----------------------------------------------------------------------------
@@ -291,10 +291,10 @@
         left = max(0, held.until - now)
         attempt = Attempt(action.request_id, number, action.endpoint, held, now)
         held.out += 1
-        self._out[(attempt.request, attempt.number)] = attempt
-        self.backend.send(attempt, min(action.timeout or left, left))  # 0: until the client gives up
+        self._out[(attempt.request_id, attempt.number)] = attempt
+        self.backend.start(attempt, min(action.timeout or left, left))  # 0: until the client gives up
 
-    def _close(self, request: int) -> Open | None:
+    def _close(self, request: int) -> InFlightRequest | None:
         """The request's one answer is due now, unless it has had it."""
         held = self._open.get(request)
         if held is None or held.over:
@@ -317,7 +317,7 @@
                 closed.call.refused(0)
                 self.post(ClientDisconnected(request))
 
-    def _forget_id(self, held: Open) -> None:
+    def _forget_id(self, held: InFlightRequest) -> None:
         """Guards rule 2: an id stays taken while an attempt is out, also after the answer."""
         if held.over and not held.out:
             self._taken.discard(held.call.id)
--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -177,7 +177,7 @@
 class Pool:
     """The connections to one server that has been sent to."""
 
-    def __init__(self, servers: Servers, name: str, home: str) -> None:
+    def __init__(self, servers: Upstream, name: str, home: str) -> None:
         self.servers, self.name = servers, name
         self.home = home
         self.idle: list[Connection] = []  # the last used at the end, so that the others can idle out
@@ -257,7 +257,7 @@
             connection.drop()
 
 
-class Servers:
+class Upstream:
     """All servers that discovery has named, and the attempts that are out."""
 
     def __init__(
@@ -283,7 +283,7 @@
         self._connects: dict[Attempt, asyncio.Task[None]] = {}
         self._sweep()
 
-    def update(
+    def update_endpoints(
         self,
         lines: Iterable[tuple[Endpoint, tuple[str, int]]],
         whole: bool,
@@ -326,14 +326,14 @@
             pool = self._pools[name] = Pool(self, name, home)
         return pool
 
-    def send(self, attempt: Attempt, timeout: int) -> None:
+    def start(self, attempt: Attempt, timeout: int) -> None:
         """Start an attempt, on an idle connection or a new one."""
         timer = self.loop.call_later(max(0, timeout) / 1e6, self._timed_out, attempt)
         self._out[attempt] = (timer, None)
-        pool = self._pool(attempt.server)
+        pool = self._pool(attempt.endpoint)
         if pool is None:
             self.end(attempt, Result.CONNECT_FAILED)
-        elif (connection := pool.take(self._safe[attempt.call.cls])) is not None:
+        elif (connection := pool.take(self._safe[attempt.call.class_index])) is not None:
             self._write(attempt, connection, timeout)
         elif not self._room():
             self.end(attempt, Result.NOT_FORWARDED)  # this gateway's own limit: it says nothing of the server
@@ -487,7 +487,7 @@
         out = self._out.pop(attempt, None)
         if out is not None:
             out[0].cancel()
-            self._engine.finished(attempt, result, value, load, true_units)
+            self._engine.attempt_finished(attempt, result, value, load, true_units)
 
     def drop_idle(self, now: float) -> None:
         """Guards unsafe requests: one that crosses the closing of an idle connection can't be retried."""
--- a/tests/integration/test_standing_terms.py
+++ b/tests/integration/test_standing_terms.py
@@ -28,10 +28,10 @@
     TimerFired,
 )
 from rushroad.proxy import discovery, engine
-from rushroad.proxy.client_connection import MOST_OPEN, Clients, Connection
+from rushroad.proxy.client_connection import MOST_OPEN, ClientListener, Connection
 from rushroad.proxy.discovery import Discovery
 from rushroad.proxy.engine import Engine
-from rushroad.proxy.upstream import Servers
+from rushroad.proxy.upstream import Upstream
 from tests.integration.test_process import (
     GATEWAY,
     PATIENCE,
@@ -105,7 +105,7 @@
 class Line:
     """A gateway between one server and clients whose sockets act at once, between turns of the loop."""
 
-    def __init__(self, engine: Engine, peer: Peer, clients: Clients, servers: Servers) -> None:
+    def __init__(self, engine: Engine, peer: Peer, clients: ClientListener, servers: Upstream) -> None:
         self.peer, self.clients, self.servers = peer, clients, servers
         self.counts = engine.counter = Held(engine)
         self.client = self.connect()
@@ -142,9 +142,9 @@
         loop = asyncio.get_running_loop()
         engine = Engine(SETTINGS, 1, loop)
         async with Peer() as peer:
-            servers = engine.backend = Servers(engine, SETTINGS, 15_000_000, 8, loop)
-            servers.update(at(peer.port), True)
-            clients = Clients(engine, TERMS, 8, loop)
+            servers = engine.backend = Upstream(engine, SETTINGS, 15_000_000, 8, loop)
+            servers.update_endpoints(at(peer.port), True)
+            clients = ClientListener(engine, TERMS, 8, loop)
             await clients.listen(LOCAL, 0)
             line = Line(engine, peer, clients, servers)
             await line.serve(line.client, 1)
@@ -275,7 +275,7 @@
 
     async def scenario() -> None:
         heard = Heard()
-        clients = Clients(cast(Engine, heard), TERMS, 8, asyncio.get_running_loop())
+        clients = ClientListener(cast(Engine, heard), TERMS, 8, asyncio.get_running_loop())
         await clients.listen(LOCAL, 0)
         client = socket.create_connection((LOCAL, clients.port))
         client.sendall(b"".join(call(number) for number in range(200)))
@@ -292,7 +292,7 @@
 def test_a_client_that_is_not_read_is_looked_at_well_before_it_must_have_been_noticed() -> None:
     async def scenario() -> None:
         heard, loop = Heard(), Noted()
-        clients = Clients(cast(Engine, heard), TERMS, 8, cast(asyncio.AbstractEventLoop, loop))
+        clients = ClientListener(cast(Engine, heard), TERMS, 8, cast(asyncio.AbstractEventLoop, loop))
         await clients.listen(LOCAL, 0)
         client = socket.create_connection((LOCAL, clients.port))
         client.sendall(b"".join(call(number) for number in range(200)))
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Clients on loopback sockets: what is a call, and the order and number of answers."""
+"""ClientListener on loopback sockets: what is a call, and the order and number of answers."""
 
 import asyncio
 import socket
@@ -8,19 +8,19 @@
 
 import pytest
 
-from rushroad.proxy.client_connection import MOST_OPEN, Clients, Connection
+from rushroad.proxy.client_connection import MOST_OPEN, ClientListener, Connection
 from rushroad.proxy.engine import Engine
 from tests.support.loopback import LOCAL, TENANT, TERMS, Heard, call, resp, run
 
 PING, PONG = resp(b"PING"), b"+PONG\r\n"
 Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-Scenario = Callable[[Heard, Clients, Callable[[], Awaitable[Ends]]], Awaitable[None]]
+Scenario = Callable[[Heard, ClientListener, Callable[[], Awaitable[Ends]]], Awaitable[None]]
 
 
 def play(scenario: Scenario, most: int = 8) -> None:
     async def start() -> None:
         heard = Heard()
-        clients = Clients(cast(Engine, heard), TERMS, most, asyncio.get_running_loop())
+        clients = ClientListener(cast(Engine, heard), TERMS, most, asyncio.get_running_loop())
         await clients.listen(LOCAL, 0)
         await scenario(heard, clients, lambda: asyncio.open_connection(LOCAL, clients.port))
         for connection in list(clients.connections):
@@ -30,7 +30,7 @@
 
 
 def test_answers_keep_the_order_of_the_commands() -> None:
-    async def scenario(heard: Heard, __: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, __: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         reader, writer = await connect()
         writer.write(call(1) + call(2) + PING + call(3))
         first, second, third = [await heard.calls.get() for _ in range(3)]
@@ -47,7 +47,7 @@
 
 
 def test_a_call_in_pieces_is_read_and_goes_on_with_the_gateways_wait() -> None:
-    async def scenario(heard: Heard, __: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, __: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         _, writer = await connect()
         terms = b"c=order,t=basic,d=480,units=1.5,spread=3,first=1,r=1,k=d=7"
         data = resp(b"CALL.POST", TENANT, b"9b1f03aa5c7e2d41", terms, b"b\r\n\0dy")
@@ -56,7 +56,7 @@
             await writer.drain()
             await asyncio.sleep(0)
         got = await heard.calls.get()
-        assert (got.cls, got.plan, got.tenant, got.units) == (1, 0, 0xAB, 1.5)
+        assert (got.class_index, got.plan, got.tenant, got.units) == (1, 0, 0xAB, 1.5)
         assert (got.patience, got.spread, got.first, got.retry) == (480, 3, 1, True)
         assert got.command(123_456) == data.replace(b",d=480,", b",d=123,")
 
@@ -109,7 +109,7 @@
     ],
 )
 def test_a_bad_command_gets_an_error_and_the_connection_goes_on(words: tuple[bytes, ...]) -> None:
-    async def scenario(heard: Heard, __: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, __: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         reader, writer = await connect()
         writer.write(resp(*words) + PING)
         assert (await reader.readline()).startswith(b"-ERR ")
@@ -140,7 +140,7 @@
     ],
 )
 def test_malformed_input_gets_an_error_after_what_is_owed_and_the_end(data: bytes) -> None:
-    async def scenario(heard: Heard, __: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, __: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         reader, writer = await connect()
         writer.write(call(1))
         got = await heard.calls.get()
@@ -159,7 +159,7 @@
 
 
 def test_a_client_that_has_gone_is_told_to_the_engine_and_gets_no_answer() -> None:
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         _, writer = await connect()
         writer.write(call(1) + call(2))
         first, second = await heard.calls.get(), await heard.calls.get()
@@ -174,7 +174,7 @@
 
 
 def test_the_longest_idle_connection_makes_room() -> None:
-    async def scenario(heard: Heard, __: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, __: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         busy, idle = await connect(), await connect()
         busy[1].write(call(1))
         got = await heard.calls.get()
@@ -191,7 +191,7 @@
 
 
 def test_after_the_stop_what_was_taken_is_answered_and_then_all_is_closed() -> None:
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         idle, busy = await connect(), await connect()
         busy[1].write(call(1))
         got = await heard.calls.get()
@@ -215,7 +215,7 @@
 def test_a_half_read_command_does_not_hold_the_stop_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("rushroad.proxy.client_connection.HALF_READ", 0.02)
 
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         reader, writer = await connect()
         writer.write(call(1) + call(2)[:-5])
         got = await heard.calls.get()
@@ -229,7 +229,7 @@
 
 def test_the_id_of_an_open_request_is_turned_away() -> None:
     # Guards rule 2: at a server it would be a second copy of the other one.
-    async def scenario(heard: Heard, __: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, __: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         heard.taken.add(b"%016x" % 1)
         reader, writer = await connect()
         writer.write(call(1) + PING)
@@ -242,7 +242,7 @@
 
 def test_what_follows_a_malformed_command_is_not_read() -> None:
     # Guards the CPU: a client may go on sending at full speed while an answer before it is still due.
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         reader, writer = await connect()
         writer.write(call(1) + b"nonsense")
         got = await heard.calls.get()
@@ -256,7 +256,7 @@
 
 def test_open_commands_of_a_connection_are_bounded_and_all_get_their_answers() -> None:
     # Guards memory and the others' share: hundreds of commands at once wait in the socket.
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         reader, writer = await connect()
         writer.write(b"".join(call(number) for number in range(200)) + PING)
         first = await heard.calls.get()
@@ -278,7 +278,7 @@
     # Guards the others' CPU against one that sends the same again as soon as it is turned away.
     monkeypatch.setattr("rushroad.proxy.client_connection.PAUSE", 0.02)
 
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         reader, writer = await connect()
         writer.write(resp(b"GET", b"x"))
         assert (await reader.readline()).startswith(b"-ERR ")
@@ -296,7 +296,7 @@
     monkeypatch.setattr("rushroad.proxy.client_connection.PATIENCE", 0.02)
     monkeypatch.setattr("rushroad.proxy.client_connection.SWEEP", 0.01)
 
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         idle_reader, idle = await connect()
         idle.write(PING)
         assert await idle_reader.readline() == PONG
@@ -314,7 +314,7 @@
 
 
 def test_many_that_say_nothing_make_room_among_themselves() -> None:
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         served = [await connect() for _ in range(4)]
         for reader, writer in served:
             writer.write(PING)
@@ -331,7 +331,7 @@
 
 
 def test_there_are_never_more_connections_than_allowed() -> None:
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         ends = [await connect() for _ in range(2)]
         for number, (_, writer) in enumerate(ends):
             writer.write(call(number))
@@ -348,7 +348,7 @@
 def test_one_that_never_reads_does_not_hold_the_stop(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("rushroad.proxy.client_connection.HALF_READ", 0.02)
 
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         _, writer = await connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(call(1))
@@ -372,7 +372,7 @@
     monkeypatch.setattr("rushroad.proxy.client_connection.MOST_UNREAD", bound << 20)
     swept = asyncio.Event()
 
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         clients.terms = replace(TERMS, longest=longest)
         reader, writer = await connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -403,7 +403,7 @@
     monkeypatch.setattr("rushroad.proxy.client_connection.IDLE_LEAST", 0.0)
     monkeypatch.setattr("rushroad.proxy.client_connection.SWEEP", 0.01)
 
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         ends = [await connect() for _ in range(4)]
         for reader, writer in ends:
             writer.write(PING)
@@ -425,7 +425,7 @@
     # What it has asked for would be sent to servers, and what waits behind that, too.
     monkeypatch.setattr("rushroad.proxy.client_connection.MOST_OPEN", most_open)
 
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         _, writer = await connect()
         writer.write(b"".join(call(number) for number in range(200)))
         for _ in range(most_open):
@@ -444,7 +444,7 @@
 
 
 def test_a_client_that_leaves_without_reading_its_answers_is_noticed() -> None:
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         _, writer = await connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(call(1) + call(2))
@@ -481,7 +481,7 @@
 
 
 def test_a_connection_that_comes_as_the_listener_closes_is_taken(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         came = asyncio.Event()
         with socket.socket() as end:
 
@@ -504,7 +504,7 @@
 def test_a_request_that_has_come_on_an_idle_connection_is_answered_before_it_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         loop = asyncio.get_running_loop()
         with socket.create_connection((LOCAL, clients.port)) as end:
             end.setblocking(False)
@@ -521,7 +521,7 @@
 
 def test_a_connection_that_stays_busy_is_refused_what_comes_after_the_listener_closed() -> None:
     # It would never run empty: clients send on every connection that stays open.
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         reader, writer = await connect()
         writer.write(call(1))
         got = await heard.calls.get()
@@ -543,7 +543,7 @@
 
 
 def test_what_is_open_when_the_process_may_be_killed_is_answered() -> None:
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         reader, writer = await connect()
         writer.write(call(1) + call(2))
         heard.unanswered = [await heard.calls.get(), await heard.calls.get()]
@@ -559,7 +559,7 @@
     # Else it would keep its descriptor for good, and never be the one that makes room.
     monkeypatch.setattr("rushroad.proxy.client_connection.SWEEP", 0.01)
 
-    async def scenario(heard: Heard, clients: Clients, connect: Callable[[], Awaitable[Ends]]) -> None:
+    async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         reader, writer = await connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(call(1) + b"nonsense")
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -8,7 +8,7 @@
 from rushroad.policy.actions import CounterAdd
 from rushroad.policy.events import CounterReply, LateCounterReply, Result
 from rushroad.proxy import counter_client as counter
-from rushroad.proxy.counter_client import Counter
+from rushroad.proxy.counter_client import CounterClient
 from tests.support.gateway_driver import Driver, kinds
 from tests.support.loopback import LOCAL, Peer, run
 
@@ -30,11 +30,11 @@
             self.put_nowait(event)
 
 
-def play(scenario: Callable[[Counter, Peer, Told], Awaitable[None]], limit: int) -> None:
+def play(scenario: Callable[[CounterClient, Peer, Told], Awaitable[None]], limit: int) -> None:
     async def start() -> None:
         told = Told()
         async with Peer() as peer:
-            counter = Counter((LOCAL, peer.port), limit, told.take, asyncio.get_running_loop())
+            counter = CounterClient((LOCAL, peer.port), limit, told.take, asyncio.get_running_loop())
             await up(counter)
             await scenario(counter, peer, told)
             counter.close()
@@ -42,7 +42,7 @@
     run(start)
 
 
-async def up(counter: Counter) -> None:
+async def up(counter: CounterClient) -> None:
     """Until all connections are there."""
     while not all(line is not None and line.usable() for line in counter._lines):
         await asyncio.sleep(0.001)
@@ -61,7 +61,7 @@
     ],
 )
 def test_each_answer_has_its_result(reply: bytes, result: Result, total: float) -> None:
-    async def scenario(counter: Counter, peer: Peer, told: Told) -> None:
+    async def scenario(counter: CounterClient, peer: Peer, told: Told) -> None:
         counter.add(0xABC, -2.5, 4_000_001)
         assert await peer.answer(reply) == b"bump abc -2.500000 4001\r\n"
         counted = await told.get()
@@ -71,7 +71,7 @@
 
 
 def test_a_name_keeps_to_one_connection_and_answers_go_to_their_calls_in_order() -> None:
-    async def scenario(counter: Counter, peer: Peer, told: Told) -> None:
+    async def scenario(counter: CounterClient, peer: Peer, told: Told) -> None:
         for amount in (1.0, 2.0, 3.0):
             counter.add(8, amount, 1_000_000)
         writer, data = await peer.hear()
@@ -85,7 +85,7 @@
 
 
 def test_a_late_answer_is_taken_in_its_place_and_told_as_late() -> None:
-    async def scenario(counter: Counter, peer: Peer, told: Told) -> None:
+    async def scenario(counter: CounterClient, peer: Peer, told: Told) -> None:
         counter.add(8, 1.0, 1_000_000)
         writer, _ = await peer.hear()
         assert (await told.get()).result is Result.TIMEOUT
@@ -103,7 +103,7 @@
 
 def test_a_late_total_tells_the_module_that_a_tenant_has_no_room() -> None:
     # Guards the quotas where most calls are late: what others took would stay unseen.
-    async def scenario(counter: Counter, peer: Peer, told: Told) -> None:
+    async def scenario(counter: CounterClient, peer: Peer, told: Told) -> None:
         driver = Driver()
         (call,) = driver.request()
         assert isinstance(call, CounterAdd)
@@ -118,7 +118,7 @@
 
 
 def test_a_break_after_the_call_is_unknown_and_without_a_connection_nothing_is_added() -> None:
-    async def scenario(counter: Counter, peer: Peer, told: Told) -> None:
+    async def scenario(counter: CounterClient, peer: Peer, told: Told) -> None:
         counter.add(8, 1.0, 1_000_000)
         await peer.hear()
         for writer in peer.writers:
@@ -142,7 +142,7 @@
     monkeypatch.setattr(counter, "PING_AFTER", 0.0)
     monkeypatch.setattr(counter, "TEND", 0.01)
 
-    async def scenario(counter: Counter, peer: Peer, told: Told) -> None:
+    async def scenario(counter: CounterClient, peer: Peer, told: Told) -> None:
         writer, data = await peer.hear()
         assert data == b"ping\r\n"
         name = next(n for n in range(9) if counter.line_of(n) is counter.line_of(0))
@@ -157,7 +157,7 @@
     monkeypatch.setattr(counter, "DEAD_AFTER", 0.0)
     monkeypatch.setattr(counter, "TEND", 0.01)
 
-    async def scenario(counter: Counter, peer: Peer, told: Told) -> None:
+    async def scenario(counter: CounterClient, peer: Peer, told: Told) -> None:
         counter.add(8, 1.0, 1_000_000)
         assert (await peer.hear())[1] != b""
         assert (await peer.hear())[1] == b""
@@ -168,7 +168,7 @@
 
 def test_a_call_on_a_connection_that_is_closing_adds_nothing() -> None:
     # Guards against a write that the transport drops because the other end's close is still to be told.
-    async def scenario(counter: Counter, peer: Peer, told: Told) -> None:
+    async def scenario(counter: CounterClient, peer: Peer, told: Told) -> None:
         while (line := counter.line_of(8)) is not None:
             assert line.transport is not None
             line.transport.close()
@@ -180,7 +180,7 @@
 
 def test_a_spoilt_answer_costs_one_connection_and_its_names_go_on_on_the_other() -> None:
     # Guards the quotas: what is not counted is let through on trust.
-    async def scenario(counter: Counter, peer: Peer, told: Told) -> None:
+    async def scenario(counter: CounterClient, peer: Peer, told: Told) -> None:
         counter.add(8, 1.0, 1_000_000)
         first, _ = await peer.hear()
         first.write(b"what\r\n")
@@ -202,7 +202,7 @@
 def test_a_connection_that_had_answered_is_replaced_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(counter, "RETRY", 60.0)
 
-    async def scenario(counter: Counter, peer: Peer, told: Told) -> None:
+    async def scenario(counter: CounterClient, peer: Peer, told: Told) -> None:
         counter.add(8, 1.0, 1_000_000)
         first, _ = await peer.hear()
         first.write(b"ok 1\r\nwhat\r\n")
@@ -215,7 +215,7 @@
 
 
 def test_a_move_leaves_calls_to_end_where_they_are_and_new_ones_go_to_the_new_address() -> None:
-    async def scenario(counter: Counter, peer: Peer, told: Told) -> None:
+    async def scenario(counter: CounterClient, peer: Peer, told: Told) -> None:
         counter.add(8, 1.0, 1_000_000)
         writer, _ = await peer.hear()
         async with Peer() as other:
@@ -240,7 +240,7 @@
 
 def test_a_late_total_of_the_counter_that_was_left_is_not_told() -> None:
     # It would be taken for what others have used on the new one, where the count may have begun anew.
-    async def scenario(counter: Counter, peer: Peer, told: Told) -> None:
+    async def scenario(counter: CounterClient, peer: Peer, told: Told) -> None:
         counter.add(8, 1.0, 1_000_000)
         writer, _ = await peer.hear()
         assert (await told.get()).result is Result.TIMEOUT
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -19,7 +19,7 @@
 from rushroad.proxy.engine import Attempt, Engine
 from rushroad.proxy.json_splitter import RUN, Cutter, Run
 from rushroad.proxy.nonblocking_log import _Log
-from rushroad.proxy.upstream import Connection, Servers
+from rushroad.proxy.upstream import Connection, Upstream
 from tests.integration.test_process import config, connect, free_port, start
 from tests.proxy.test_discovery import HEAD, chunk, line
 from tests.proxy.test_upstream import FAST, OK, held
@@ -274,7 +274,7 @@
 
     def __init__(self, peer: Peer, most: int = 100) -> None:
         self.heard, self.peer, self.count = Heard(), peer, 0
-        self.servers = Servers(cast(Engine, self.heard), FAST, 60_000_000, most, asyncio.get_running_loop())
+        self.servers = Upstream(cast(Engine, self.heard), FAST, 60_000_000, most, asyncio.get_running_loop())
 
     def tell(
         self,
@@ -285,12 +285,12 @@
         state: EndpointState = EndpointState.READY,
     ) -> None:
         lines = [(Endpoint(f"s-{n}", state), (LOCAL, self.peer.port)) for n in names]
-        self.servers.update(lines, whole, first, last)
+        self.servers.update_endpoints(lines, whole, first, last)
 
     def send(self, server: int) -> None:
         self.count += 1
         attempt = Attempt(self.count, 0, f"s-{server}", held(10, 0), self.heard.clock.now())
-        self.servers.send(attempt, 10_000_000)
+        self.servers.start(attempt, 10_000_000)
 
     async def result(self) -> Result:
         return (await self.heard.ended.get())[1]
@@ -370,7 +370,7 @@
     carry = Connection.carry
 
     def noted(connection: Connection, attempt: Attempt, command: bytes) -> None:
-        late.extend({attempt.server} & gone)
+        late.extend({attempt.endpoint} & gone)
         carry(connection, attempt, command)
 
     async def scenario(watched: Watched) -> None:
@@ -380,7 +380,7 @@
 
             def told(members: EndpointUpdate, lines: list[Line]) -> None:
                 gone.update(member.name for member in members.endpoints)
-                sender.servers.update(lines, False)
+                sender.servers.update_endpoints(lines, False)
                 watched._note(members, lines)
 
             watched.discovery._news = told
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -33,9 +33,9 @@
     UpdateKind,
 )
 from rushroad.proxy import engine as gateway
-from rushroad.proxy.client_connection import Clients
+from rushroad.proxy.client_connection import ClientListener
 from rushroad.proxy.engine import Clock, Engine
-from rushroad.proxy.upstream import Servers
+from rushroad.proxy.upstream import Upstream
 from tests.proxy.test_upstream import LONG, OK, at
 from tests.support.gateway_driver import SETTINGS
 from tests.support.loopback import LOCAL, TERMS, Late, Peer, call, resp, run
@@ -87,10 +87,10 @@
         loop = asyncio.get_running_loop()
         engine = Engine(SETTINGS, 1, loop)
         async with Peer() as peer:
-            servers = engine.backend = Servers(engine, SETTINGS, 15_000_000, 8, loop)
-            servers.update(at(peer.port), True)
+            servers = engine.backend = Upstream(engine, SETTINGS, 15_000_000, 8, loop)
+            servers.update_endpoints(at(peer.port), True)
             engine.counter = Counts(engine)
-            clients = Clients(engine, TERMS, 8, loop)
+            clients = ClientListener(engine, TERMS, 8, loop)
             await clients.listen(LOCAL, 0)
             await scenario(engine, peer, await asyncio.open_connection(LOCAL, clients.port))
             servers.close()
@@ -225,7 +225,7 @@
 
     async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
         stub = typing.cast(gateway.Call, Gone())
-        engine.gone(engine.submit(stub))  # before the module's turn
+        engine.client_disconnected(engine.submit(stub))  # before the module's turn
         await done.wait()
         assert peer.came.empty()
 
@@ -249,7 +249,7 @@
             done.set()
 
     async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        assert isinstance(engine.backend, Servers)
+        assert isinstance(engine.backend, Upstream)
         late = Late()
         engine.backend.loop = typing.cast(asyncio.AbstractEventLoop, late)
         ends[1].write(call(1))
@@ -287,7 +287,7 @@
     """A call whose client has left: an answer to it is an error."""
 
     id = b"1"
-    cls = plan = tenant = first = 0
+    class_index = plan = tenant = first = 0
     units, patience, spread, retry = 1.0, 1_000, 1, False
     arrived = time.monotonic()
 
@@ -303,7 +303,7 @@
 
     async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
         engine.submit(typing.cast(gateway.Call, Gone()))
-        engine.news(news)
+        engine.endpoints_updated(news)
         await told.wait()
 
     events = play(monkeypatch, script, scenario)
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -12,7 +12,7 @@
 from rushroad.policy.events import Endpoint, EndpointState, Result
 from rushroad.policy.settings import Limits
 from rushroad.proxy.engine import Attempt, Engine
-from rushroad.proxy.upstream import Ages, Servers
+from rushroad.proxy.upstream import Ages, Upstream
 from tests.support.gateway_driver import IDEMPOTENT, NOT_IDEMPOTENT, SETTINGS
 from tests.support.loopback import LOCAL, Heard, Late, Peer, resp, run
 
@@ -24,8 +24,8 @@
 class Stub:
     """A call with a command of any size."""
 
-    def __init__(self, size: int = 10, cls: int = IDEMPOTENT) -> None:
-        self.size, self.cls = size, cls
+    def __init__(self, size: int = 10, class_index: int = IDEMPOTENT) -> None:
+        self.size, self.class_index = size, class_index
 
     def has_left(self) -> bool:
         return False
@@ -34,9 +34,9 @@
         return resp(b"CALL.GET", b"x" * self.size)
 
 
-def held(size: int, cls: int) -> Any:
+def held(size: int, class_index: int) -> Any:
     """A request with a command of any size, as far as an attempt needs one."""
-    return SimpleNamespace(call=Stub(size, cls))
+    return SimpleNamespace(call=Stub(size, class_index))
 
 
 @pytest.fixture(autouse=True)
@@ -57,13 +57,13 @@
     def __init__(self, port: int, most: int = 8) -> None:
         self.heard, self.next = Heard(), 0
         loop = asyncio.get_running_loop()
-        self.servers = Servers(cast(Engine, self.heard), FAST, 60_000_000, most, loop)
-        self.servers.update(at(port), True)
+        self.servers = Upstream(cast(Engine, self.heard), FAST, 60_000_000, most, loop)
+        self.servers.update_endpoints(at(port), True)
 
-    def send(self, timeout: int = LONG, size: int = 10, cls: int = IDEMPOTENT) -> Attempt:
+    def send(self, timeout: int = LONG, size: int = 10, class_index: int = IDEMPOTENT) -> Attempt:
         self.next += 1
-        attempt = Attempt(self.next, 0, "s-1", held(size, cls), self.heard.clock.now())
-        self.servers.send(attempt, timeout)
+        attempt = Attempt(self.next, 0, "s-1", held(size, class_index), self.heard.clock.now())
+        self.servers.start(attempt, timeout)
         return attempt
 
     def transports(self) -> list[asyncio.Transport]:
@@ -212,7 +212,7 @@
             bench.servers.cancel(bench.send(size=11))
             assert await bench.end() == (1, Result.CONNECT_FAILED)
             cut = bench.send(timeout=0, size=12)
-            assert await bench.end() == (cut.request, Result.CONNECT_FAILED)
+            assert await bench.end() == (cut.request_id, Result.CONNECT_FAILED)
             bench.send(size=13)
             while (heard := (await peer.hear())[1]) == b"":
                 pass
@@ -230,9 +230,9 @@
         async with Peer() as peer:
             bench = Bench(peer.port)
             bench.send(size=11)
-            bench.servers.update(at(peer.port, state), False)
+            bench.servers.update_endpoints(at(peer.port, state), False)
             assert await bench.end() == (1, Result.CONNECT_FAILED)
-            bench.servers.update(at(peer.port), False)
+            bench.servers.update_endpoints(at(peer.port), False)
             bench.send(size=12)
             while (heard := (await peer.hear())[1]) == b"":
                 pass
@@ -249,7 +249,7 @@
             bench.servers.loop = cast(asyncio.AbstractEventLoop, late)
             bench.send(size=11)
             await late.asked.wait()
-            bench.servers.update(at(peer.port, started=7), False)
+            bench.servers.update_endpoints(at(peer.port, started=7), False)
             late.go_on.set()
             assert await bench.end() == (1, Result.NOT_FORWARDED)
             assert (await peer.hear())[1] == b""
@@ -263,7 +263,7 @@
             bench = Bench(peer.port)
             bench.send()
             writer, _ = await peer.hear()
-            bench.servers.update([], True)  # a whole list without it: it is gone
+            bench.servers.update_endpoints([], True)  # a whole list without it: it is gone
             writer.write(OK)
             assert await bench.end() == (1, Result.OK)
             assert (await peer.hear())[1] == b""
@@ -315,7 +315,7 @@
             bench.send()
             await peer.answer(OK)
             await bench.end()
-            bench.servers.update(at(peer.port, started=7), False)
+            bench.servers.update_endpoints(at(peer.port, started=7), False)
             assert (await peer.hear())[1] == b""
 
     run(scenario)
@@ -353,7 +353,7 @@
                 attempt = bench.send()
                 assert (await peer.hear())[1] != b""
                 bench.servers.cancel(attempt)
-                assert await bench.end() == (attempt.request, Result.CANCELLED)
+                assert await bench.end() == (attempt.request_id, Result.CANCELLED)
                 assert (await peer.hear())[1] == b""
             if silent == 2:
                 assert (await peer.hear())[1] == b""  # the third, which was idle
@@ -454,7 +454,7 @@
             bench = Bench(peer.port)
             bench.send()
             writer, _ = await peer.hear()
-            bench.servers.update(at(peer.port, started=7), False)
+            bench.servers.update_endpoints(at(peer.port, started=7), False)
             writer.write(OK)
             assert await bench.end() == (1, Result.OK)
             assert await peer.hear() == (writer, b"")
@@ -469,7 +469,7 @@
             bench = Bench(peer.port)
             bench.send()
             writer, _ = await peer.hear()
-            bench.servers.update(at(peer.port, EndpointState.REMOVED), False)
+            bench.servers.update_endpoints(at(peer.port, EndpointState.REMOVED), False)
             bench.servers._sweep()
             assert set(bench.servers._pools) == {"s-1"}
             writer.write(OK)
@@ -546,7 +546,7 @@
             bench.send()
             writer = await heard(peer, OK)
             await bench.end()
-            bench.send(cls=NOT_IDEMPOTENT)
+            bench.send(class_index=NOT_IDEMPOTENT)
             assert await heard(peer, OK) is not writer
             assert (await bench.end())[1] is Result.OK
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -91,7 +91,7 @@
         self.unanswered: list[Any] = []  # what the end of the process answers
         self._count = 0
 
-    def finished(
+    def attempt_finished(
         self,
         attempt: Attempt,
         result: Result,
@@ -100,7 +100,7 @@
         true_units: float | None = None,
     ) -> None:
         self.true_units.append(true_units)
-        self.ended.put_nowait((attempt.request, result, value, load))
+        self.ended.put_nowait((attempt.request_id, result, value, load))
 
     def submit(self, call: Any) -> int:
         if call.id in self.taken:
@@ -109,7 +109,7 @@
         self._count += 1
         return self._count
 
-    def gone(self, request: int) -> None:
+    def client_disconnected(self, request: int) -> None:
         self.left.put_nowait(request)
 
     def give_up(self) -> None:
