--- a/rushroad/bench/simulated_fleet.py
+++ b/rushroad/bench/simulated_fleet.py
@@ -24,6 +24,7 @@
 from typing import Any
 
 from rushroad.policy.actions import Action, CancelAttempt, CounterAdd, Fail, Reject, SetTimer, StartAttempt
+from rushroad.policy.active_endpoints import ActiveEndpoint
 from rushroad.policy.events import (
     AttemptOutcome,
     CounterReply,
@@ -36,7 +37,7 @@
     TimerFired,
     UpdateKind,
 )
-from rushroad.policy.gateway import Gateway, _Server
+from rushroad.policy.gateway import Gateway
 from rushroad.policy.settings import (
     CounterSettings,
     DeduplicationScope,
@@ -138,11 +139,16 @@
 class CountingGateway(Gateway):
     """Counts the servers that its choices look at."""
 
-    looked = 0
+    def __init__(self, settings: Settings, seed: int, now: int) -> None:
+        super().__init__(settings, seed, now)
+        self.looked = 0
+        expected_wait = self.load_balancer.expected_wait
 
-    def _wait(self, server: _Server) -> float:
-        self.looked += 1
-        return super()._wait(server)
+        def counted(endpoint: ActiveEndpoint, now: int) -> float:
+            self.looked += 1
+            return expected_wait(endpoint, now)
+
+        self.load_balancer.expected_wait = counted  # type: ignore[method-assign]
 
 
 @dataclass(slots=True)
--- /dev/null
+++ b/rushroad/policy/concurrency_usage.py
@@ -0,0 +1,21 @@
+"""How many requests of a tenant are open."""
+
+from __future__ import annotations
+
+
+class ConcurrencyUsage:
+    """One tenant's open requests, as far as this gateway knows."""
+
+    __slots__ = ("full_until", "open_requests")
+
+    def __init__(self, now: int) -> None:
+        self.open_requests = 0  # with attempts in flight at this gateway
+        self.full_until = now  # until then no slot is free at any gateway, as the last total told
+
+    def opened(self) -> None:
+        """Count a request whose first attempt is in flight."""
+        self.open_requests += 1
+
+    def closed(self) -> None:
+        """Count a request without attempts in flight."""
+        self.open_requests = max(0, self.open_requests - 1)
--- /dev/null
+++ b/rushroad/policy/durations.py
@@ -0,0 +1,3 @@
+"""Units of time."""
+
+SECOND = 1_000_000  # microseconds
--- /dev/null
+++ b/rushroad/policy/quota.py
@@ -0,0 +1,215 @@
+"""Admission by a tenant's quota of units, which holds over all gateways together.
+
+Each request adds its units to the tenant's counter and is admitted by the total, so that gateways need not
+know of each other. Where the counter is away or overloaded, a gateway decides by its own estimate.
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+from rushroad.policy.admission import Admission
+from rushroad.policy.concurrency_quota import within_local_share
+from rushroad.policy.counter_breaker import CounterBreaker
+from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, units_counter
+from rushroad.policy.durations import SECOND
+from rushroad.policy.events import CounterReply, Result
+from rushroad.policy.pending_request import PendingRequest
+from rushroad.policy.settings import Settings
+from rushroad.policy.tenant_usage import SMOOTHING, window_length
+from rushroad.policy.timers import CounterWaitOver, Timers
+
+FULL_SHARE_USE = 0.5  # of the burst used; from there on all requests call that the counter's load allows
+NEAR_LIMIT_WINDOWS = 2.0  # refills of the burst for which a tenant counts as near its limit
+NEAR_LIMIT_RESERVE = 0.5  # of the largest request; what every class leaves free near the limit
+OVER_QUOTA_CALLS = 2.0  # calls for requests over the quota, for each that is likely to be admitted
+REJECTION_SMOOTHING = 0.03  # weight of one decision in a plan's mean of rejections
+
+
+class Quota:
+    """Decides whether a request fits into its tenant's quota."""
+
+    def __init__(
+        self, settings: Settings, breaker: CounterBreaker, calls: CounterCalls, timers: Timers, random: Random
+    ) -> None:
+        self._settings = settings
+        self._counter = settings.counter
+        self._breaker = breaker
+        self._calls = calls
+        self._timers = timers
+        self._random = random
+        self._rejection_rates = [0.0 for _ in settings.plans]  # of the decisions by totals
+        self._top_weight = max(c.priority_weight for c in settings.request_classes)
+        # In a large fleet a tenant may not come here again: requests that call stand for those that don't.
+        self.samples_requests = False
+
+    def assess(self, pending: PendingRequest) -> None:
+        """Note on a request how likely it is to be rejected, and whether that makes it over the quota."""
+        plan, usage = pending.plan, pending.tenant.usage
+        rejections = usage.rejections + self._rejection_rates[pending.request.plan_index]
+        pending.rejection_probability = rejections / (usage.decisions + 1.0)
+        # Admitted without a total it earns its weight, or costs what going beyond the quota costs.
+        cost = 1.0 + plan.overage_cost - plan.overage_weight
+        pending.is_over_quota = pending.rejection_probability * cost >= 1.0
+
+    def permits(self, pending: PendingRequest) -> bool:
+        """Whether this gateway's own share of the hard limits allows a request, whatever the counter says."""
+        if not within_local_share(pending, self._counter is not None):
+            return False
+        return pending.tenant.ceiling.allows(pending.plan, pending.request.units)
+
+    def decide(self, pending: PendingRequest, now: int) -> Admission:
+        """Decide on a request of a plan with a rate, or call the counter for its total."""
+        if self._counter is None:
+            return self.decide_by_estimate(pending, now)
+        if self._has_no_room(pending, now):
+            # Its units would only be taken back, and retries would overload the counter.
+            return Admission.REJECT_OVER_QUOTA
+        if self._breaker.is_open:
+            if self._breaker.allow_trial(now):
+                pending.counted_units = pending.request.units
+                self._call(pending, None, pending.counted_units, now)
+            return self.decide_by_estimate(pending, now)
+        return self._call_for_share(pending, now)
+
+    def _call_for_share(self, pending: PendingRequest, now: int) -> Admission:
+        """Call the counter for a share of the requests, as its load allows; the others are estimated."""
+        share = self._call_share(pending)
+        if self._random.random() < share:
+            sampled = self.samples_requests and not pending.is_over_quota
+            pending.counted_units = pending.request.units / share if sampled else pending.request.units
+            self._call(pending, pending.request.id, pending.counted_units, now)
+            if self._counter is not None and self._counter.timeout > pending.counter_wait:
+                self._timers.start(pending.counter_wait, CounterWaitOver(pending.request.id))
+            return Admission.WAIT_FOR_COUNTER
+        if pending.is_over_quota:
+            return Admission.REJECT_OVER_QUOTA
+        return self.decide_by_estimate(pending, now)
+
+    def _call_share(self, pending: PendingRequest) -> float:
+        share = self._breaker.call_share
+        if share >= 1.0:
+            return share
+        if pending.is_over_quota:
+            return share * min(1.0, OVER_QUOTA_CALLS * (1.0 - pending.rejection_probability))
+        if self.samples_requests:
+            return share
+        # The nearer a tenant is to its burst, the more a total tells.
+        used = (pending.tenant.usage.used + pending.request.units) / pending.plan.burst
+        return share * (used / FULL_SHARE_USE) ** 2
+
+    def _has_no_room(self, pending: PendingRequest, now: int) -> bool:
+        """Whether that is known before any call. What may just fit is for a total to say, if there is one."""
+        usage = pending.tenant.usage
+        if not self._breaker.is_overloaded:
+            return usage.used + pending.request.units > pending.plan.burst
+        return not self._fits(pending, pending.request.units, now, usage.estimated_others)
+
+    def _fits(self, pending: PendingRequest, units: float, now: int, certain: float = 0.0) -> bool:
+        """Whether the units fit, with a reserve where the tenant was near its limit of late.
+
+        The reserve is for units that no total holds yet, and for classes of a higher weight. Without it a
+        quota at its limit would go to small requests only, as larger ones never find so much at once.
+        """
+        usage, plan = pending.tenant.usage, pending.plan
+        reserve = 0.0
+        if now - usage.near_limit_at < NEAR_LIMIT_WINDOWS * plan.burst / plan.rate * SECOND:
+            weight = pending.request_class.priority_weight / self._top_weight
+            reserve = (NEAR_LIMIT_RESERVE + 1.0 - weight) * self._settings.max_units
+        fits = usage.fits(units, pending.request.entry_points, reserve, certain)
+        if not fits:
+            usage.near_limit_at = now
+        return fits
+
+    def decide_by_estimate(self, pending: PendingRequest, now: int) -> Admission:
+        """Decide without a total; the next one replaces the estimate of the others' use.
+
+        Others are taken to admit as much as this gateway while the counter is away, else as much as totals
+        told, unless a call for this request is under way. This keeps many gateways from admitting a burst
+        each, and rejects too much where a tenant comes here more often than it used to.
+        """
+        usage, units, others = pending.tenant.usage, pending.request.units, 0.0
+        if self._breaker.is_open or self._counter is None:
+            others = units * (max(1, pending.request.entry_points) - 1)
+        elif not self.samples_requests and not pending.counted_units:
+            others = units * usage.others_per_own(pending.request.entry_points)
+        # With those of many others one request may exceed the burst: it fits when nothing is used.
+        if not self._fits(pending, units + others, now) or not self.permits(pending):
+            return Admission.REJECT_OVER_ESTIMATE
+        usage.enter_window(now)
+        usage.used += units + others
+        usage.estimated_others += others
+        reports = self._counter is not None and not self.samples_requests and not self._breaker.is_open
+        if reports and not pending.counted_units:
+            usage.unreported += units
+            pending.counted_units = units
+        return Admission.ADMIT
+
+    def _call(self, pending: PendingRequest, waiting_request: int | None, units: float, now: int) -> None:
+        """Add units, and what is unreported, to the tenant's counter of this window."""
+        tenant = pending.tenant
+        tenant.usage.enter_window(now)
+        amount = units + tenant.usage.take_unreported()
+        call = CounterCall(CountedResource.UNITS, tenant, amount, waiting_request)
+        self._calls.add(units_counter(tenant.id), call, tenant.usage.window.life(now))
+
+    def on_reply(
+        self, call: CounterCall, reply: CounterReply, pending: PendingRequest | None, now: int
+    ) -> Admission | None:
+        """Take in the reply to a call; returns the decision on the request that still waits for it."""
+        waits = pending is not None and pending.awaiting_counter
+        usage = call.tenant.usage
+        if reply.result is not Result.OK:
+            usage.call_failed(call.amount, reply.result.proven_not_executed)
+            return self.decide_by_estimate(pending, now) if pending is not None and waits else None
+        usage.refill(now)
+        usage.apply_total(call.amount, reply.total, now)
+        return self._decide_by_total(call, pending, now) if pending is not None and waits else None
+
+    def _decide_by_total(self, call: CounterCall, pending: PendingRequest, now: int) -> Admission:
+        usage, plan_index = call.tenant.usage, pending.request.plan_index
+        reported = max(0.0, call.amount - pending.counted_units)
+        usage.mean_unreported += SMOOTHING * (reported - usage.mean_unreported)
+        rejected = not self._fits(pending, pending.request.units, now)
+        usage.decisions += 1.0
+        usage.rejections += rejected
+        rate = self._rejection_rates[plan_index]
+        self._rejection_rates[plan_index] = rate + REJECTION_SMOOTHING * (rejected - rate)
+        if rejected or not self.permits(pending):
+            return Admission.REJECT_OVER_QUOTA
+        usage.used += pending.request.units
+        return Admission.ADMIT
+
+    def return_units(self, pending: PendingRequest, now: int) -> None:
+        """Take the units of a request that was never forwarded off the counter.
+
+        While the counter is away or overloaded that goes with the next call for the tenant.
+        """
+        if not pending.counted_units:
+            return
+        units = -pending.request.units * (pending.counted_units / pending.request.units)
+        if not self._breaker.is_overloaded and not self._breaker.is_open:
+            self._call(pending, None, units, now)
+        else:
+            pending.tenant.usage.unreported += units
+
+    def release_admitted(self, pending: PendingRequest) -> None:
+        """Give the units of an admitted request back that is not forwarded after all."""
+        usage = pending.tenant.usage
+        usage.used = max(0.0, usage.used - pending.request.units)
+
+    def settle(self, pending: PendingRequest, actual_units: float) -> None:
+        """Correct the units of a request to the actual ones; the counter learns of it with the next call."""
+        usage = pending.tenant.usage
+        units = actual_units - pending.request.units
+        usage.used = max(0.0, usage.used + units)
+        if pending.counted_units:
+            usage.unreported += units * pending.counted_units / pending.request.units
+
+    def retry_after(self, pending: PendingRequest) -> int:
+        """Return the microseconds until the request may fit, at most a window: never 0 units' refill."""
+        plan, limit = pending.plan, self._settings.limits.max_retry_after
+        if plan.rate <= 0:
+            return min(limit, pending.request_class.latency_objective)
+        missing = max(1.0, pending.tenant.usage.used + pending.request.units - plan.burst)
+        return min(window_length(plan), limit, int(missing / plan.rate * SECOND))
--- a/tests/bench/test_simulated_fleet.py
+++ b/tests/bench/test_simulated_fleet.py
@@ -161,7 +161,7 @@
     some = Fleet(size_of("40/300"), 1)
     some.run(1 * SECOND)
     expected = experiments.subsets(40, list(some.servers))
-    kept = [{s.line.name for s in gateway.module._ready} for gateway in some.gateways.values()]
+    kept = [{s.entry.name for s in gateway.module.endpoints.ready} for gateway in some.gateways.values()]
     assert kept == expected
 
 
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -162,7 +162,9 @@
     slow = driver.admitted(tenant=50)
     assert CancelAttempt(slow.request_id, 0) not in driver.wait(900 * MS)
     driver.outcome(slow.request_id)
-    assert not driver.gateway._servers[slow.endpoint].aside
+    endpoint = driver.gateway.endpoints.get(slow.endpoint)
+    assert endpoint is not None
+    assert not endpoint.outlier.ejected
 
 
 def test_a_slow_server_that_answers_others_is_waited_for() -> None:
@@ -250,9 +252,9 @@
         send = driver.admitted(tenant=n)
         driver.outcome(send.request_id)
     driver.wait(5 * SECOND)
-    assert not driver.gateway._jobs
-    assert not driver.gateway._asked
-    assert not driver.gateway._tokens
+    assert not driver.gateway.pending
+    assert not len(driver.gateway.counter_calls)
+    assert not len(driver.gateway.timers)
 
 
 def test_servers_that_refuse_connects_are_left_even_if_they_are_most() -> None:
@@ -295,7 +297,7 @@
     assert kinds(driver.wait(390 * MS)) == []  # the second has the rest of the time
     assert kinds(driver.outcome(send.request_id, Result.OK, 0)) == []
     assert kinds(driver.outcome(send.request_id, Result.OK, 1)) == []
-    assert driver.gateway._tenants[TENANT].open == 0
+    assert driver.open_requests(TENANT) == 0
 
 
 @pytest.mark.parametrize("cls", [IDEMPOTENCY_KEY, NOT_IDEMPOTENT])
@@ -318,7 +320,7 @@
     driver = Driver()
     send = driver.admitted(units=2.0)
     driver.expire(send.request_id)
-    assert driver.gateway._tenants[TENANT].open == 0
+    assert driver.open_requests(TENANT) == 0
     driver.request(units=2.0)
     driver.expire(send.request_id + 1)
     assert driver.calls[-1].amount == -2.0
@@ -332,7 +334,10 @@
             driver.counted(1.0)
         driver.wait(2 * SECOND)
     assert kinds(driver.actions).count("StartAttempt") > 20
-    assert len(driver.gateway._servers["10.0.0.1:80"].abandoned) <= 6
+    endpoint = driver.gateway.endpoints.get("10.0.0.1:80")
+    assert endpoint is not None
+    assert not endpoint.concurrency.in_flight
+    assert endpoint.concurrency.count(abandoned_since=0) <= 6
 
 
 def test_a_request_that_is_sent_again_is_open_once() -> None:
@@ -340,16 +345,17 @@
     driver = Driver()
     first, second = driver.admitted(), driver.admitted()
     driver.outcome(first.request_id, Result.ERROR)
-    assert driver.gateway._tenants[TENANT].open == 2
+    assert driver.open_requests(TENANT) == 2
     driver.outcome(first.request_id)
-    assert driver.gateway._tenants[TENANT].open == 1
+    assert driver.open_requests(TENANT) == 1
     driver.outcome(second.request_id)
-    assert driver.gateway._tenants[TENANT].open == 0
+    assert driver.open_requests(TENANT) == 0
 
 
 def test_what_was_given_up_at_one_server_takes_no_room_at_the_others() -> None:
     # Servers that pause hold what was given up; those that answer must not go idle for it.
     driver = Driver()
-    paused = next(iter(driver.gateway._servers.values()))
-    paused.abandoned = [driver.now] * 8  # more than the limits of all four come to
-    assert driver.admitted().endpoint != paused.line.name
+    paused = driver.gateway.endpoints.ready[0]
+    for _ in range(8):  # more than the limits of all four come to
+        paused.concurrency.abandon(driver.now, abandoned_since=0)
+    assert driver.admitted().endpoint != paused.entry.name
--- a/tests/policy/test_large_fleets.py
+++ b/tests/policy/test_large_fleets.py
@@ -7,8 +7,8 @@
 import pytest
 
 from rushroad.policy.actions import CounterAdd, StartAttempt
+from rushroad.policy.active_endpoints import ActiveEndpoint
 from rushroad.policy.events import CounterReply, Endpoint, EndpointState, Result, UpdateKind
-from rushroad.policy.gateway import _Server
 from rushroad.policy.settings import Idempotency
 from rushroad.policy.subsetting import SERVERS_LEAST, SERVERS_MOST
 from tests.support.gateway_driver import (
@@ -97,14 +97,14 @@
     driver = Driver(replace(NO_COUNTER, fleet_size=gateways), servers=0)
     driver.members(*lines(servers), kind=UpdateKind.CACHED_SNAPSHOT)
     driver.wait(1 * SECOND)  # a long list is looked at in parts
-    seen: list[_Server] = []
-    wait = driver.gateway._wait
+    seen: list[ActiveEndpoint] = []
+    wait = driver.gateway.load_balancer.expected_wait
 
-    def noted(server: _Server) -> float:
-        seen.append(server)
-        return wait(server)
+    def noted(endpoint: ActiveEndpoint, now: int) -> float:
+        seen.append(endpoint)
+        return wait(endpoint, now)
 
-    driver.gateway._wait = noted  # type: ignore[method-assign]
+    driver.gateway.load_balancer.expected_wait = noted  # type: ignore[method-assign]
     driver.admitted()
     assert 0 < len(seen) <= most < 1.5 * SERVERS_MOST
 
@@ -115,7 +115,7 @@
     for index in range(200):
         driver = Driver(replace(NO_COUNTER, gateway_index=index), servers=0)
         driver.members(*lines(servers), kind=UpdateKind.CACHED_SNAPSHOT)
-        sizes.append(len(driver.gateway._ready))
+        sizes.append(len(driver.gateway.endpoints.ready))
     assert SERVERS_LEAST <= sum(sizes) / len(sizes) <= 1.03 * SERVERS_LEAST
 
 
@@ -240,7 +240,7 @@
                 answer(driver, 40.0)
             driver.finish()
             driver.wait(8 * SECOND + 100 * MS)  # behind the time in which a window may still end
-        driver.gateway._credit, driver.gateway._credit_at = 0.4 * driver.gateway._longest, driver.now
+        driver.gateway.load_shedding.set_credit(0.4, driver.now)
         assert kinds(driver.request(tenant=1)) == ["Reject"]
         assert kinds(driver.request(tenant=2, cls=IDEMPOTENCY_KEY)) != ["Reject"]
 
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -163,7 +163,7 @@
     for tenant in range(3_000):
         driver.request(tenant=tenant, time_left=0)
         driver.wait(50 * MS)
-    assert len(driver.gateway._tenants) < 1_000
+    assert len(driver.gateway.tenants) < 1_000
 
 
 def test_one_lost_answer_does_not_cut_a_tenant_to_the_even_share() -> None:
@@ -207,7 +207,7 @@
     for result in (Result.TIMEOUT, Result.TIMEOUT, Result.RESET, Result.RESET, Result.OVERLOADED):
         driver.counted(result=result)
     driver.finish()
-    driver.gateway._calling = 1.0  # which of the requests call is not the matter here
+    driver.gateway.counter_breaker.call_share = 1.0  # which of the requests call is not the matter here
     assert kinds(driver.request(units=2.0, entry_points=4)) == ["CounterAdd"]
     assert kinds(driver.counted(result=Result.TIMEOUT)) == ["StartAttempt"]
 
@@ -216,7 +216,7 @@
     driver = Driver()
     added, passed, largest = 0.0, 0, 0.0
     for share in (0.3, 0.3, 0.3, 0.3, 0.3, 1.0):  # the counter is crowded, then not
-        driver.gateway._calling = share
+        driver.gateway.counter_breaker.call_share = share
         actions = driver.request()
         if driver.calls:
             added += driver.calls[0].amount
@@ -234,7 +234,9 @@
     sends = []
     for total in (2.0, 4.0, 6.0, 8.0):
         for result in (Result.RESET, Result.OK):
-            driver.gateway._calling = 1.0  # which of the requests call is not the matter here
+            driver.gateway.counter_breaker.call_share = (
+                1.0  # which of the requests call is not the matter here
+            )
             driver.request()
             sends += kinds(driver.counted(total, result))
             driver.finish()
@@ -245,7 +247,7 @@
     driver = Driver()
     driver.request(units=2.0)
     assert kinds(driver.counted(result=Result.OVERLOADED)) == ["StartAttempt"]
-    driver.gateway._calling = 1.0  # which of the requests call is not the matter here
+    driver.gateway.counter_breaker.call_share = 1.0  # which of the requests call is not the matter here
     driver.request(units=1.0)
     assert driver.calls[0].amount == 3.0
 
@@ -256,7 +258,7 @@
     driver.request(units=2.0)
     assert kinds(driver.counted(result=Result.RESET)) == ["StartAttempt"]
     for total, amount in ((1.0, 1.0), (4.0, 3.0)):
-        driver.gateway._calling = 1.0  # which of the requests call is not the matter here
+        driver.gateway.counter_breaker.call_share = 1.0  # which of the requests call is not the matter here
         driver.request()
         assert driver.calls[0].amount == amount
         driver.counted(total)
@@ -275,7 +277,7 @@
             driver.finish()
             driver.wait(1 * SECOND)
         driver.wait(8 * SECOND)
-        driver.gateway._calling = 1e-9  # next to no call
+        driver.gateway.counter_breaker.call_share = 1e-9  # next to no call
         before = kinds(driver.actions).count("StartAttempt")
         for _ in range(12):
             driver.request(entry_points=2)
@@ -288,9 +290,9 @@
 
 def test_a_total_takes_the_place_of_what_was_guessed_of_others() -> None:
     driver = Driver()
-    driver.gateway._calling = 1e-9
+    driver.gateway.counter_breaker.call_share = 1e-9
     assert kinds(driver.request(entry_points=4)) == ["StartAttempt"]  # stands for 4 units
-    driver.gateway._calling = 1.0
+    driver.gateway.counter_breaker.call_share = 1.0
     for units, total in ((4.0, 5.0), (2.0, 7.0)):  # others took nothing
         driver.request(units=units, entry_points=4)
         assert kinds(driver.counted(total)) == ["StartAttempt"]
@@ -301,7 +303,7 @@
     driver = Driver()
     driver.request(cls=NOT_IDEMPOTENT)
     driver.counted(8.0)
-    driver.gateway._calling = 0.5
+    driver.gateway.counter_breaker.call_share = 0.5
     assert kinds(driver.request(cls=NOT_IDEMPOTENT)) == [
         "Reject"
     ]  # without a call: nothing has been refilled yet
@@ -316,16 +318,16 @@
     driver.counted(12.0)  # others took 8 of 8
     driver.counted(8.0)  # the answer to the add-back
     driver.wait(2 * SECOND)  # four units
-    driver.gateway._calling = 0.9  # crowded: it is refused without a call
+    driver.gateway.counter_breaker.call_share = 0.9  # crowded: it is refused without a call
     assert kinds(driver.request(units=1.0)) == ["Reject"]
-    driver.gateway._calling = 1.0
+    driver.gateway.counter_breaker.call_share = 1.0
     assert kinds(driver.request(units=1.0)) == ["CounterAdd"]  # as the units by themselves would fit
     assert "Reject" in kinds(driver.counted(9.0))
     driver.counted(8.0)
     driver.request(units=2.0, cls=NOT_IDEMPOTENT)
     assert kinds(driver.counted(10.0)) == ["StartAttempt"]
     driver.wait(SECOND // 2)  # one unit, but all keep two
-    driver.gateway._calling = 0.9
+    driver.gateway.counter_breaker.call_share = 0.9
     assert kinds(driver.request(units=2.0, cls=NOT_IDEMPOTENT)) == ["Reject"]
 
 
@@ -350,10 +352,10 @@
     # The new count never held it: others would take it for room.
     driver = Driver()
     driver.request(units=2.0, cls=NOT_IDEMPOTENT)
-    driver.gateway._calling = 0.5  # it is taken back with the next call
+    driver.gateway.counter_breaker.call_share = 0.5  # it is taken back with the next call
     driver.counted(10.0)
     driver.wait(8 * SECOND)  # as long as a window
-    driver.gateway._calling = 1.0
+    driver.gateway.counter_breaker.call_share = 1.0
     driver.request(cls=NOT_IDEMPOTENT)
     assert driver.calls[0].amount == 1.0
 
@@ -363,9 +365,9 @@
     # The total can't hold what they have let through since their last call: as much as this one does.
     driver, totals = Driver(), Totals()
     for _ in range(4):
-        driver.gateway._calling = 1e-9 if owes else 1.0
+        driver.gateway.counter_breaker.call_share = 1e-9 if owes else 1.0
         driver.request(entry_points=2, cls=NOT_IDEMPOTENT)
-        driver.gateway._calling = 1.0
+        driver.gateway.counter_breaker.call_share = 1.0
         driver.request(entry_points=2, cls=NOT_IDEMPOTENT)
         while driver.calls:
             totals.add(replace(driver.calls[0], amount=2.0), driver.now)  # others
@@ -386,7 +388,7 @@
             if units:
                 driver.request(tenant=tenant, units=units)
                 driver.counted(units)
-            driver.gateway._calling = 0.5
+            driver.gateway.counter_breaker.call_share = 0.5
             before = len(driver.calls)
             driver.request(tenant=tenant)
             calls[units] += len(driver.calls) - before
@@ -441,7 +443,7 @@
     driver = Driver(replace(SETTINGS, fleet_size=6), servers=0)
     driver.members(kind=UpdateKind.CACHED_SNAPSHOT)
     driver.members(*(line(number) for number in range(1, 9)), kind=UpdateKind.SNAPSHOT)
-    assert driver.gateway._pooled is None
+    assert driver.gateway.limiter.pooled is None
 
 
 CAPPED = replace(SETTINGS, plans=(Plan(concurrency=2),))  # open requests only, over all gateways
@@ -511,7 +513,8 @@
 
 def test_while_the_counter_is_away_a_gateway_keeps_to_its_share_of_the_cap() -> None:
     driver = Driver(CAPPED)
-    driver.gateway._failed, driver.gateway._trial_at = 9, driver.now + SECOND
+    driver.gateway.counter_breaker.failures = 9
+    driver.gateway.counter_breaker.next_trial_at = driver.now + SECOND
     assert kinds(driver.request(entry_points=2)) == ["StartAttempt"]
     assert kinds(driver.request(entry_points=2)) == ["Reject"]
     driver.now += 2 * SECOND
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -6,8 +6,9 @@
 import pytest
 
 from rushroad.policy.actions import StartAttempt
+from rushroad.policy.active_endpoints import REVIEW_PART
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, Result, UpdateKind
-from rushroad.policy.gateway import SHARE_PART, Gateway
+from rushroad.policy.gateway import Gateway
 from rushroad.policy.settings import DeduplicationScope, Idempotency, Plan
 from rushroad.policy.subsetting import SERVERS_MOST, SHARE_STEP, Roster, holders, picks, sharers
 from tests.support.gateway_driver import IDEMPOTENCY_KEY, MS, SECOND, SETTINGS, START, Driver
@@ -24,7 +25,7 @@
 
 
 def subset(gateway: Gateway) -> set[str]:
-    return {server.line.name for server in gateway._ready}
+    return {endpoint.entry.name for endpoint in gateway.endpoints.ready}
 
 
 @pytest.mark.parametrize(
@@ -107,10 +108,10 @@
 def test_a_server_outside_costs_nothing_but_its_entry() -> None:
     driver = Driver(FREE, servers=0)
     driver.members(*ready(400), kind=UpdateKind.CACHED_SNAPSHOT)
-    held = len(driver.gateway._servers)
-    outside = next(line for line in ready(400) if line.name not in driver.gateway._servers)
+    held = len(driver.gateway.endpoints)
+    outside = next(line for line in ready(400) if line.name not in driver.gateway.endpoints)
     driver.members(replace(outside, started_at=driver.now))
-    assert len(driver.gateway._servers) == held < 40
+    assert len(driver.gateway.endpoints) == held < 40
 
 
 def test_a_whole_list_in_parts_ends_what_none_of_them_names_and_only_once_it_is_whole() -> None:
@@ -144,23 +145,23 @@
 
 
 def test_a_long_list_is_looked_at_in_parts_and_nothing_is_passed_over() -> None:
-    settings, lines = replace(FREE, fleet_size=1_000), ready(5 * SHARE_PART + 3)
+    settings, lines = replace(FREE, fleet_size=1_000), ready(5 * REVIEW_PART + 3)
     driver = Driver(settings, servers=0)
     looked: list[int] = [0]
-    update = driver.gateway._update
+    update = driver.gateway.endpoints.update
 
-    def counted(line: Endpoint) -> None:
+    def counted(entry: Endpoint, now: int) -> None:
         looked[-1] += 1
-        update(line)
+        update(entry, now)
 
-    driver.gateway._update = counted  # type: ignore[method-assign]
-    handle = driver.gateway._look_on
+    driver.gateway.endpoints.update = counted  # type: ignore[method-assign]
+    handle = driver.gateway.endpoints.review_next_part
 
-    def parted() -> None:
+    def parted(now: int) -> bool:
         looked.append(0)
-        handle()
+        return handle(now)
 
-    driver.gateway._look_on = parted  # type: ignore[method-assign]
+    driver.gateway.endpoints.review_next_part = parted  # type: ignore[method-assign]
     for at in range(0, len(lines), 250):
         looked.append(0)
         part = EndpointUpdate(UpdateKind.SNAPSHOT, 1, lines[at : at + 250], at == 0, at + 250 >= len(lines))
@@ -170,7 +171,7 @@
     )  # in the middle of it
     driver.wait(1 * SECOND)
     share = sharers(1_000, len(lines))
-    assert max(looked) <= SHARE_PART + 250
+    assert max(looked) <= REVIEW_PART + 250
     assert subset(driver.gateway) == {
         line.name for line in lines if line != lines[3] and 0 in holders(line.name, 1_000, share)
     }
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -192,6 +192,12 @@
             AttemptOutcome(request, number, server, result, self.now - sent, life.over, load_report=load)
         )
 
+    def open_requests(self, tenant_id: int) -> int:
+        """Requests of a tenant with attempts in flight, as the gateway counts them."""
+        tenant = self.gateway.tenants.get(tenant_id)
+        assert tenant is not None
+        return tenant.concurrency.open_requests
+
     def finish(self) -> None:
         """All that is out is answered well."""
         for life in list(self.lives.values()):
