--- a/rushroad/bench/simulated_experiments.py
+++ b/rushroad/bench/simulated_experiments.py
@@ -15,6 +15,7 @@
 
 import click
 import xxhash
+from msgspec import structs
 
 from rushroad.bench.report import Cell, Run, fit
 from rushroad.bench.simulated_fleet import (
@@ -122,9 +123,9 @@
     gateway, lines = fleet.gateways[0], list(fleet.listed.values())[:DELTA]
     began = gateway.cpu
     for line in lines:
-        gateway.tell([replace(line, started_at=fleet.now)])
+        gateway.tell([structs.replace(line, started_at=fleet.now)])
     alone = gateway.cpu - began
-    gateway.tell([replace(line, started_at=fleet.now + 1) for line in lines])
+    gateway.tell([structs.replace(line, started_at=fleet.now + 1) for line in lines])
     together = gateway.cpu - began - alone
     return {"us_change": alone / 1e3 / len(lines), "us_change_in_100": together / 1e3 / len(lines)}
 
--- a/rushroad/policy/actions.py
+++ b/rushroad/policy/actions.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import TypeAlias
 
+import msgspec
 
-@dataclass(frozen=True, slots=True)
-class StartAttempt:
+
+class StartAttempt(msgspec.Struct, frozen=True, gc=False):
     """Forward a request to an endpoint; its attempts are numbered 0, 1, 2... in their order."""
 
     request_id: int
@@ -15,31 +15,27 @@
     timeout: int
 
 
-@dataclass(frozen=True, slots=True)
-class CancelAttempt:
+class CancelAttempt(msgspec.Struct, frozen=True, gc=False):
     """Stop waiting for an attempt."""
 
     request_id: int
     attempt: int
 
 
-@dataclass(frozen=True, slots=True)
-class Reject:
+class Reject(msgspec.Struct, frozen=True, gc=False):
     """Final answer: rejected, and a retry does no harm."""
 
     request_id: int
     retry_after: int = 0
 
 
-@dataclass(frozen=True, slots=True)
-class Fail:
+class Fail(msgspec.Struct, frozen=True, gc=False):
     """Final answer: failed; says nothing of whether the request was executed."""
 
     request_id: int
 
 
-@dataclass(frozen=True, slots=True)
-class CounterAdd:
+class CounterAdd(msgspec.Struct, frozen=True, gc=False):
     """Add to a named number on the counter service; `lifetime` holds from the first add on."""
 
     name: int
@@ -47,50 +43,43 @@
     lifetime: int
 
 
-@dataclass(frozen=True, slots=True)
-class SetTimer:
+class SetTimer(msgspec.Struct, frozen=True, gc=False):
     """Ask for a TimerFired event after this span."""
 
     delay: int
     token: int
 
 
-@dataclass(frozen=True, slots=True)
-class CheckHealth:
+class CheckHealth(msgspec.Struct, frozen=True, gc=False):
     """Send a health check to an endpoint."""
 
     endpoint: str
 
 
-@dataclass(frozen=True, slots=True)
-class SendPeerMessage:
+class SendPeerMessage(msgspec.Struct, frozen=True, gc=False):
     """Send a message to another gateway, or to all."""
 
     recipient: int | None
     data: bytes
 
 
-@dataclass(frozen=True, slots=True)
-class WatchEndpoints:
+class WatchEndpoints(msgspec.Struct, frozen=True, gc=False):
     """Ask the discovery service for updates from now on, or stop them."""
 
     enabled: bool
 
 
-@dataclass(frozen=True, slots=True)
-class FetchEndpoints:
+class FetchEndpoints(msgspec.Struct, frozen=True, gc=False):
     """Ask the discovery service for one snapshot of the endpoint list."""
 
 
-@dataclass(frozen=True, slots=True)
-class CloseIdleConnections:
+class CloseIdleConnections(msgspec.Struct, frozen=True, gc=False):
     """Close this gateway's idle connections to an endpoint."""
 
     endpoint: str
 
 
-@dataclass(frozen=True, slots=True)
-class WriteLog:
+class WriteLog(msgspec.Struct, frozen=True, gc=False):
     """Write a line to the operators' log."""
 
     text: str
--- a/rushroad/policy/counter_calls.py
+++ b/rushroad/policy/counter_calls.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 from collections import deque
-from dataclasses import dataclass
 from enum import Enum, auto
 
+import msgspec
+
 from rushroad.policy.actions import CounterAdd
 from rushroad.policy.outbox import Outbox
 from rushroad.policy.tenants import Tenant
@@ -36,8 +37,7 @@
     return None if name & CONCURRENCY_BIT else name >> TENANT_SHIFT
 
 
-@dataclass(slots=True)
-class CounterCall:
+class CounterCall(msgspec.Struct, frozen=True, gc=False):
     """A call without a reply."""
 
     resource: CountedResource
--- a/rushroad/policy/events.py
+++ b/rushroad/policy/events.py
@@ -6,10 +6,11 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from enum import Enum, IntEnum
 from typing import TypeAlias
 
+import msgspec
+
 
 class Result(Enum):
     """How an attempt, a health check or a counter call ended."""
@@ -46,8 +47,7 @@
     FAILED = 3  # a call to the discovery service failed; no endpoints
 
 
-@dataclass(frozen=True, slots=True)
-class Request:
+class Request(msgspec.Struct, frozen=True, gc=False):
     """A client's request has arrived and is owed one final answer."""
 
     id: int
@@ -61,8 +61,7 @@
     is_retry: bool = False  # marked by the client as a repeat
 
 
-@dataclass(frozen=True, slots=True)
-class AttemptOutcome:
+class AttemptOutcome(msgspec.Struct, frozen=True, gc=False):
     """How an attempt ended; each StartAttempt gets exactly one."""
 
     request_id: int
@@ -76,8 +75,7 @@
     load_report: tuple[float, ...] = ()  # in the order of Settings.load_report_fields
 
 
-@dataclass(frozen=True, slots=True)
-class ResponseStarted:
+class ResponseStarted(msgspec.Struct, frozen=True, gc=False):
     """A streamed response has begun: the attempt is bound to the client from now on."""
 
     request_id: int
@@ -86,8 +84,7 @@
     elapsed: int
 
 
-@dataclass(frozen=True, slots=True)
-class CounterReply:
+class CounterReply(msgspec.Struct, frozen=True, gc=False):
     """The reply to one CounterAdd."""
 
     name: int
@@ -96,8 +93,7 @@
     total: float
 
 
-@dataclass(frozen=True, slots=True)
-class LateCounterReply:
+class LateCounterReply(msgspec.Struct, frozen=True, gc=False):
     """The total of a CounterAdd that was reported as TIMEOUT before. It may never come."""
 
     name: int
@@ -105,15 +101,13 @@
     total: float
 
 
-@dataclass(frozen=True, slots=True)
-class ClientDisconnected:
+class ClientDisconnected(msgspec.Struct, frozen=True, gc=False):
     """The client has closed its connection; no answer is owed for this request any more."""
 
     request_id: int
 
 
-@dataclass(frozen=True, slots=True)
-class Endpoint:
+class Endpoint(msgspec.Struct, frozen=True, gc=False):
     """An entry of the endpoint list."""
 
     name: str
@@ -125,8 +119,7 @@
     weight: float = 1.0
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointUpdate:
+class EndpointUpdate(msgspec.Struct, frozen=True, gc=False):
     """An update of the endpoint list. A long snapshot comes in parts, marked by `first` and `last`.
 
     Each part holds from its arrival; what no part of a snapshot names is removed after the last one. A first
@@ -140,8 +133,7 @@
     last: bool = True
 
 
-@dataclass(frozen=True, slots=True)
-class HealthCheckReply:
+class HealthCheckReply(msgspec.Struct, frozen=True, gc=False):
     """The reply to one CheckHealth."""
 
     endpoint: str
@@ -150,16 +142,14 @@
     load_report: tuple[float, ...] = ()
 
 
-@dataclass(frozen=True, slots=True)
-class PeerMessage:
+class PeerMessage(msgspec.Struct, frozen=True, gc=False):
     """A message from another gateway."""
 
     sender: int
     data: bytes
 
 
-@dataclass(frozen=True, slots=True)
-class TimerFired:
+class TimerFired(msgspec.Struct, frozen=True, gc=False):
     """A SetTimer has run out."""
 
     token: int
--- a/rushroad/policy/timers.py
+++ b/rushroad/policy/timers.py
@@ -2,24 +2,23 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import Final, TypeAlias
 
+import msgspec
+
 from rushroad.policy.actions import SetTimer
 from rushroad.policy.outbox import Outbox
 
 TOKEN_MASK = 0xFFFFFFFF  # tokens have 32 bits on the simulator's wire
 
 
-@dataclass(slots=True)
-class CounterWaitOver:
+class CounterWaitOver(msgspec.Struct, frozen=True, gc=False):
     """A request has waited for its counter reply for as long as it may."""
 
     request_id: int
 
 
-@dataclass(slots=True)
-class AttemptCheckDue:
+class AttemptCheckDue(msgspec.Struct, frozen=True, gc=False):
     """An attempt has used its part of the time; its endpoint may be silent."""
 
     request_id: int
--- a/rushroad/proxy/discovery.py
+++ b/rushroad/proxy/discovery.py
@@ -8,11 +8,11 @@
 import random
 from collections import deque
 from collections.abc import Callable
-from dataclasses import replace
 from typing import Any, NamedTuple, cast
 
 import h11
 import msgspec
+from msgspec import structs
 
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from rushroad.policy.settings_reader import Names
@@ -413,7 +413,7 @@
             lines = [
                 (m, at) for m, at in lines if m.state is not EndpointState.READY or m.name not in self._off
             ]
-            members = replace(members, endpoints=tuple(member for member, _ in lines))
+            members = structs.replace(members, endpoints=tuple(member for member, _ in lines))
         else:
             self._note(members, last)
         if news:
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -3,6 +3,7 @@
 from dataclasses import replace
 
 import pytest
+from msgspec import structs
 
 from rushroad.policy.actions import CancelAttempt, CounterAdd, StartAttempt
 from rushroad.policy.events import EndpointState, EndpointUpdate, Result, UpdateKind
@@ -102,13 +103,13 @@
 
 def test_a_draining_server_gets_nothing_new() -> None:
     driver = Driver(servers=2)
-    driver.members(replace(line(1), state=EndpointState.DRAINING))
+    driver.members(structs.replace(line(1), state=EndpointState.DRAINING))
     assert {driver.admitted(tenant=n).endpoint for n in range(6)} == {line(2).name}
 
 
 def test_a_removed_server_gets_nothing_new() -> None:
     driver = Driver(servers=2)
-    driver.members(replace(line(1), state=EndpointState.REMOVED))
+    driver.members(structs.replace(line(1), state=EndpointState.REMOVED))
     assert {driver.admitted(tenant=n).endpoint for n in range(6)} == {line(2).name}
 
 
@@ -229,7 +230,7 @@
     cold = line(9).name
     for n in range(400):
         if n == 200:
-            driver.members(replace(line(9), started_at=driver.now))
+            driver.members(structs.replace(line(9), started_at=driver.now))
         send = driver.admitted(tenant=n)
         driver.now += 25 * MS
         driver.outcome(send.request_id)
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -4,6 +4,7 @@
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
+from msgspec import structs
 
 from rushroad.policy.events import EndpointState, Result, UpdateKind
 from rushroad.policy.settings import DeduplicationScope, Idempotency, Limits, Plan, RequestClass, Settings
@@ -80,7 +81,7 @@
             state = list(EndpointState)[number % 3]
             started = driver.now if number % 2 else 0
             n = number // 6 % 5 + 1
-            driver.members(replace(line(n, cell=n % 2, zone=n % 3), state=state, started_at=started))
+            driver.members(structs.replace(line(n, cell=n % 2, zone=n % 3), state=state, started_at=started))
     answer_due_calls(driver)
     driver.wait(10 * SECOND)
     assert all(life.over for life in driver.lives.values())
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -3,6 +3,7 @@
 from dataclasses import replace
 
 import pytest
+from msgspec import structs
 
 from rushroad.policy.actions import CounterAdd, Reject
 from rushroad.policy.events import AttemptOutcome, EndpointState, Result, UpdateKind
@@ -272,7 +273,7 @@
         driver, totals = Driver(), Totals()
         for _ in range(12):  # this gateway takes half of the quota, others nothing or the same
             driver.request(entry_points=2)
-            totals.add(replace(driver.calls[0], amount=others), driver.now)
+            totals.add(structs.replace(driver.calls[0], amount=others), driver.now)
             driver.counted(totals.add(driver.calls[0], driver.now))
             driver.finish()
             driver.wait(1 * SECOND)
@@ -370,12 +371,12 @@
         driver.gateway.counter_breaker.call_share = 1.0
         driver.request(entry_points=2, cls=NOT_IDEMPOTENT)
         while driver.calls:
-            totals.add(replace(driver.calls[0], amount=2.0), driver.now)  # others
+            totals.add(structs.replace(driver.calls[0], amount=2.0), driver.now)  # others
             driver.counted(totals.add(driver.calls[0], driver.now))
         driver.finish()
         driver.wait(4 * SECOND)
     driver.request(entry_points=2, cls=NOT_IDEMPOTENT)
-    totals.add(replace(driver.calls[0], amount=7.0), driver.now)  # in a window that has just begun
+    totals.add(structs.replace(driver.calls[0], amount=7.0), driver.now)  # in a window that has just begun
     end = kinds(driver.counted(totals.add(driver.calls[0], driver.now)))
     assert ("Reject" in end) is owes
 
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -4,6 +4,7 @@
 from dataclasses import replace
 
 import pytest
+from msgspec import structs
 
 from rushroad.policy.actions import StartAttempt
 from rushroad.policy.active_endpoints import REVIEW_PART
@@ -84,7 +85,8 @@
         whole = subset(gateway)
         assert whole == {line.name for line, found in zip(lines, before, strict=True) if index in found}
         gateway.handle(
-            START, EndpointUpdate(UpdateKind.DELTA, 2, (replace(lines[7], state=EndpointState.REMOVED),))
+            START,
+            EndpointUpdate(UpdateKind.DELTA, 2, (structs.replace(lines[7], state=EndpointState.REMOVED),)),
         )
         kept += whole - {lines[7].name} <= subset(gateway)  # 99 are shared by one gateway more
         changed += lines[7].name in whole
@@ -110,7 +112,7 @@
     driver.members(*ready(400), kind=UpdateKind.CACHED_SNAPSHOT)
     held = len(driver.gateway.endpoints)
     outside = next(line for line in ready(400) if line.name not in driver.gateway.endpoints)
-    driver.members(replace(outside, started_at=driver.now))
+    driver.members(structs.replace(outside, started_at=driver.now))
     assert len(driver.gateway.endpoints) == held < 40
 
 
@@ -134,7 +136,7 @@
     driver, lines = Driver(FREE, servers=0), ready(12)
     driver.members(*lines, kind=UpdateKind.CACHED_SNAPSHOT)
     own = subset(driver.gateway)
-    off = [replace(line, state=EndpointState.DRAINING) for line in lines if line.name in own][:3]
+    off = [structs.replace(line, state=EndpointState.DRAINING) for line in lines if line.name in own][:3]
     driver.told_off.update((line.name, driver.now) for line in off)
     driver.feed(EndpointUpdate(UpdateKind.SNAPSHOT, 2, tuple(off), last=False))
     driver.wait(1 * SECOND)
@@ -167,7 +169,7 @@
         part = EndpointUpdate(UpdateKind.SNAPSHOT, 1, lines[at : at + 250], at == 0, at + 250 >= len(lines))
         driver.feed(part)
     driver.feed(
-        EndpointUpdate(UpdateKind.DELTA, 2, (replace(lines[3], state=EndpointState.REMOVED),))
+        EndpointUpdate(UpdateKind.DELTA, 2, (structs.replace(lines[3], state=EndpointState.REMOVED),))
     )  # in the middle of it
     driver.wait(1 * SECOND)
     share = sharers(1_000, len(lines))
@@ -181,7 +183,9 @@
     driver, lines = Driver(replace(FREE, fleet_size=490), servers=0), ready(9_700)
     driver.members(*lines, kind=UpdateKind.CACHED_SNAPSHOT)
     driver.wait(1 * SECOND)
-    driver.members(*(replace(line, state=EndpointState.REMOVED) for line in lines if line.cell % 24 == 0))
+    driver.members(
+        *(structs.replace(line, state=EndpointState.REMOVED) for line in lines if line.cell % 24 == 0)
+    )
     driver.wait(1 * SECOND)
     for tenant in range(200):
         driver.admitted(tenant=tenant)
@@ -195,7 +199,9 @@
         driver = Driver(replace(FREE, gateway_index=index), servers=0, seed=index)
         driver.members(*lines, kind=UpdateKind.CACHED_SNAPSHOT)
         own = subset(driver.gateway)
-        driver.members(*(replace(line, state=EndpointState.DRAINING) for line in lines if line.name in own))
+        driver.members(
+            *(structs.replace(line, state=EndpointState.DRAINING) for line in lines if line.name in own)
+        )
         driver.wait(2 * SECOND)
         for tenant in range(8):
             driver.admitted(tenant=tenant)
@@ -209,7 +215,9 @@
     driver, lines = Driver(FREE, servers=0), ready(100)
     driver.members(*lines, kind=UpdateKind.CACHED_SNAPSHOT)
     own = subset(driver.gateway)
-    cold = [replace(line, started_at=driver.now) for line in lines if line.name in own or line.cell < 5]
+    cold = [
+        structs.replace(line, started_at=driver.now) for line in lines if line.name in own or line.cell < 5
+    ]
     driver.members(*cold)
     for tenant in range(8):
         driver.admitted(tenant=tenant)
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -1,6 +1,8 @@
 """Settings and a driver for the tests: events by hand, and a referee that holds every action to the rules."""
 
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, field
+
+from msgspec import structs
 
 from rushroad.policy.actions import Action, CancelAttempt, CounterAdd, Fail, Reject, SetTimer, StartAttempt
 from rushroad.policy.events import (
@@ -75,7 +77,7 @@
 
 def line(number: int, **fields: int) -> Endpoint:
     """A ready server."""
-    return replace(Endpoint(f"10.0.0.{number}:80", EndpointState.READY), **fields)  # type: ignore[arg-type]
+    return structs.replace(Endpoint(f"10.0.0.{number}:80", EndpointState.READY), **fields)
 
 
 class Totals:
