--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -31,7 +31,7 @@
     StartAttempt,
     WatchEndpoints,
 )
-from rushroad.policy.clock_skew import ClockLead
+from rushroad.policy.clock_skew import ClockSkew
 from rushroad.policy.counter_window import CHANCE, SharedCount
 from rushroad.policy.events import (
     AttemptOutcome,
@@ -336,7 +336,7 @@
         self._ready: list[_Server] = []  # those of the subset, and guests, that are ready
         self._kinds: dict[int, _Kind] = {}
         self._warm, self._warm_at = 0, now - NAME_LIFE  # warm ones among these, and when they were counted
-        self._lead = ClockLead()
+        self._clock_skew = ClockSkew()
         self._pooled: _Limit | None = None  # one limit for all, where many gateways share each server
         self._live, self._credit, self._credit_at = 0, 0.0, now  # attempts out; attempt-microseconds saved up
         self._mean_value = 1e-9  # running mean of worth for the work
@@ -897,7 +897,7 @@
             return True
         if server.guest:
             return False
-        age = max(0, self._lead.age(server.line.started_at, self._now)) / max(1, safety.warm_up_time)
+        age = max(0, self._clock_skew.uptime(server.line.started_at, self._now)) / max(1, safety.warm_up_time)
         grown = safety.initial_capacity + (1 - safety.initial_capacity) * age
         pace = COLD_MARGIN * safety.overload_multiple * grown * self._warm_rate(server)
         server.cold_left = min(1.0, server.cold_left + pace * (self._now - server.cold_at) / SECOND)
@@ -938,7 +938,8 @@
 
     def _is_cold(self, line: Endpoint) -> bool:
         return (
-            line.started_at > 0 and self._lead.age(line.started_at, self._now) < self._s.safety.warm_up_time
+            line.started_at > 0
+            and self._clock_skew.uptime(line.started_at, self._now) < self._s.safety.warm_up_time
         )
 
     # --- send -------------------------------------------------------------------------------------------
@@ -1161,7 +1162,7 @@
             return
         if event.kind is UpdateKind.CACHED_SNAPSHOT and event.last and self._s.polls_endpoints:
             self._out.append(WatchEndpoints(True))
-        self._lead.hear(event, self._now)
+        self._clock_skew.observe(event, self._now)
         changed = self._roster.take(event)
         anew = (event.last or event.kind is UpdateKind.DELTA) and self._roster.reshare()
         if anew:
@@ -1177,7 +1178,7 @@
         self._refresh()
         if event.last:
             starts = [server.line.started_at for server in self._ready]
-            self._lead.check(starts, self._now, self._s.safety.warm_up_time)
+            self._clock_skew.check_plausible(starts, self._now, self._s.safety.warm_up_time)
 
     def _look_on(self) -> None:
         """The next part of the list, after its servers are shared by more or fewer gateways than before."""
