--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -32,7 +32,7 @@
     WatchEndpoints,
 )
 from rushroad.policy.clock_skew import ClockSkew
-from rushroad.policy.counter_window import CHANCE, SharedCount
+from rushroad.policy.counter_window import ROUNDING_MARGIN, CounterWindow
 from rushroad.policy.events import (
     AttemptOutcome,
     ClientDisconnected,
@@ -138,7 +138,7 @@
         "window",
     )
 
-    def __init__(self, plan: Plan, window: SharedCount, now: int) -> None:
+    def __init__(self, plan: Plan, window: CounterWindow, now: int) -> None:
         self.burst, self.rate, self.debt, self.at = plan.burst, plan.rate, 0.0, now
         self.spare = 0.0  # units refilled since the last total that found no debt here
         self.window = window
@@ -172,7 +172,7 @@
         Guards tenants that come through many gateways: each of them sees the use of a whole window at once,
         and would take all of it for a debt of this moment. Harmless where a gateway looks often.
         """
-        spare = min(self.spare, self.rate * (now - self.window.began) / SECOND)
+        spare = min(self.spare, self.rate * (now - self.window.started_at) / SECOND)
         self.spare = 0.0
         return min(max(0.0, others), REFILL_PART * spare)
 
@@ -475,7 +475,7 @@
         if tenant is None:
             limit = self._s.counter.timeout if self._s.counter else 0
             offset = request.tenant * 7919  # edges of different tenants fall apart
-            window = SharedCount(_window_length(plan), limit, offset, self._now)
+            window = CounterWindow(_window_length(plan), limit, offset, self._now)
             tenant = self._tenants[request.tenant] = _Tenant(plan, window, self._now)
             # The ceiling's share starts empty at boot, so that no restart refills it.
             tenant.limit_at = self._born
@@ -551,7 +551,7 @@
             self._failed = 0
         else:
             self._note_failure(event)
-        if amount < 0 and event.result is Result.OK and event.total < -CHANCE:
+        if amount < 0 and event.result is Result.OK and event.total < -ROUNDING_MARGIN:
             # The place was taken from a count that is forgotten: what this one lacks is put back.
             self._add_place(event.name, tenant, min(-amount, -event.total), None)
         if amount <= 0 or waiting is None:
@@ -580,7 +580,7 @@
 
     def _enter_window(self, job: _Job) -> int:
         """The name of the tenant's count. One whose life is over by now starts from nothing."""
-        if job.tenant.window.enter(self._now):
+        if job.tenant.window.restart_if_expired(self._now):
             job.tenant.leave_window()
         return job.request.tenant << TENANT_SHIFT
 
@@ -591,7 +591,7 @@
         units, job.tenant.owed = units + min(job.tenant.owed, job.tenant.debt), 0.0
         self._asked.setdefault(name, []).append(waiting)
         self._amounts.setdefault(name, []).append((job.tenant, units))
-        self._out.append(CounterAdd(name, units, job.tenant.window.life(self._now)))
+        self._out.append(CounterAdd(name, units, job.tenant.window.lifetime(self._now)))
 
     def _on_counted(self, event: CounterReply) -> None:
         waiting = self._asked[event.name].pop(0)
@@ -629,7 +629,7 @@
 
     def _take_total(self, tenant: _Tenant, amount: float, total: float) -> float:
         """What a total tells of the others' use, beyond what has been guessed of it."""
-        others, renewed = tenant.window.hear(amount, total, self._now)
+        others, renewed = tenant.window.apply_total(amount, total, self._now)
         if renewed:
             tenant.leave_window()
         # Of the adds whose answers were lost this total can hold so much; the rest was not added.
@@ -652,7 +652,7 @@
         if tenant is not None and tenant.unheard > 0:  # else the call was of the window before
             tenant.unheard -= 1
             tenant.lost -= event.amount
-            tenant.window.own -= min(0.0, event.amount)  # it was taken off when the call ended
+            tenant.window.own_total -= min(0.0, event.amount)  # it was taken off when the call ended
             tenant.take(self._take_total(tenant, event.amount, event.total))
 
     def _count_failed(self, event: CounterReply, tenant: _Tenant, amount: float) -> None:
@@ -666,7 +666,7 @@
         else:
             tenant.unheard += 1
             tenant.lost += amount
-            tenant.window.own += min(0.0, amount)
+            tenant.window.own_total += min(0.0, amount)
         self._note_failure(event)
 
     def _note_failure(self, event: CounterReply) -> None:
--- a/tests/policy/test_counter_window.py
+++ b/tests/policy/test_counter_window.py
@@ -1,68 +1,69 @@
-"""What a gateway knows of a count that the counter forgets by itself."""
+"""What a gateway concludes from totals of a number that the counter forgets by itself."""
 
 from random import Random
 
 import pytest
 
 from rushroad.policy.actions import CounterAdd
-from rushroad.policy.counter_window import SharedCount
+from rushroad.policy.counter_window import CounterWindow
 from tests.support.gateway_driver import MS, SECOND, START, Totals
 
 LENGTH, MARGIN = 8 * SECOND, 80 * MS
 NAME = 7
-EDGE = START - START % LENGTH + LENGTH  # a boundary where clocks are right
+BOUNDARY = START - START % LENGTH + LENGTH  # of windows, by a right clock
 
 
-def shared(now: int) -> SharedCount:
-    return SharedCount(LENGTH, MARGIN, 0, now)
+def counter_window(now: int) -> CounterWindow:
+    return CounterWindow(LENGTH, MARGIN, 0, now)
 
 
-def test_a_total_tells_what_others_added_since_the_last_one() -> None:
-    count = shared(EDGE)
-    assert count.hear(1.0, 5.0, EDGE) == (4.0, False)
-    assert count.hear(1.0, 8.0, EDGE + SECOND) == (2.0, False)
-    assert count.hear(0.0, 6.0, EDGE + SECOND) == (-2.0, False)  # taken back
+def test_total_tells_what_others_added_since_the_last_one() -> None:
+    window = counter_window(BOUNDARY)
+    assert window.apply_total(1.0, 5.0, BOUNDARY) == (4.0, False)
+    assert window.apply_total(1.0, 8.0, BOUNDARY + SECOND) == (2.0, False)
+    assert window.apply_total(0.0, 6.0, BOUNDARY + SECOND) == (-2.0, False)  # taken back
 
 
-def test_a_window_ends_at_its_boundary_for_whoever_calls_first() -> None:
-    for before in (LENGTH - 1, LENGTH // 2, 2 * MARGIN):
-        assert shared(EDGE - before).life(EDGE - before) == before
-    assert shared(EDGE - 1).life(EDGE - 1) == LENGTH + 1  # it would end before the call arrives
+def test_lifetime_ends_at_the_window_boundary_unless_the_call_might_arrive_after_it() -> None:
+    for until_boundary in (LENGTH - 1, LENGTH // 2, 2 * MARGIN):
+        now = BOUNDARY - until_boundary
+        assert counter_window(now).lifetime(now) == until_boundary
+    assert counter_window(BOUNDARY - 1).lifetime(BOUNDARY - 1) == LENGTH + 1
 
 
-def test_behind_the_boundary_a_total_tells_whether_the_counter_has_forgotten() -> None:
-    for total, others, renewed in ((12.0, 1.0, False), (3.0, 2.0, True)):
-        count = shared(EDGE - SECOND)
-        count.hear(1.0, 10.0, EDGE - SECOND)
-        assert not count.enter(EDGE + MARGIN - 1)
-        assert count.hear(1.0, total, EDGE + MARGIN - 1) == (others, renewed)
-        assert count.enter(EDGE + MARGIN) is not renewed
-        assert count.began == EDGE
+def test_total_after_the_boundary_tells_whether_the_counter_has_forgotten_the_name() -> None:
+    for total, added_by_others, window_restarted in ((12.0, 1.0, False), (3.0, 2.0, True)):
+        window = counter_window(BOUNDARY - SECOND)
+        window.apply_total(1.0, 10.0, BOUNDARY - SECOND)
+        assert not window.restart_if_expired(BOUNDARY + MARGIN - 1)
+        change = window.apply_total(1.0, total, BOUNDARY + MARGIN - 1)
+        assert change == (added_by_others, window_restarted)
+        assert window.restart_if_expired(BOUNDARY + MARGIN) is not window_restarted
+        assert window.started_at == BOUNDARY
 
 
-def test_a_count_that_was_lost_before_its_time_is_noticed() -> None:
-    count = shared(EDGE)
+def test_name_forgotten_before_its_lifetime_is_over_restarts_the_window() -> None:
+    window = counter_window(BOUNDARY)
     for number in range(1, 5):
-        count.hear(1.0, float(number), EDGE + number * MS)
-    assert count.hear(1.0, 2.0, EDGE + SECOND) == (1.0, True)
-    assert count.began == EDGE + SECOND
-
-
-@pytest.mark.parametrize("step", [0, 3 * SECOND, -3 * SECOND, 3_601 * SECOND])
-@pytest.mark.parametrize("pause", [0.05, 0.4, 2.0])
-def test_what_others_add_is_never_missed_by_much_whatever_one_clock_says(pause: float, step: int) -> None:
-    chance, totals, now = Random(1), Totals(), EDGE
-    right, wrong = shared(now), shared(now + step)
-    heard, added = [0.0, 0.0], [0.0, 0.0]
-    for _ in range(int(400 / pause)):
-        now += int(chance.expovariate(1 / pause) * SECOND)
-        who = chance.randrange(2)
-        count, at = (right, now) if who == 0 else (wrong, now + step)
-        count.enter(at)
-        total = totals.add(CounterAdd(NAME, 1.0, count.life(at)), now)
-        others, _ = count.hear(1.0, total, at)
-        heard[who] += others
-        added[who] += 1.0
-    for who in (0, 1):
-        # What was added between its last look at a window and the window's end is not seen.
-        assert heard[who] >= added[1 - who] - 2.0 * totals.begun / max(1.0, pause)
+        window.apply_total(1.0, float(number), BOUNDARY + number * MS)
+    assert window.apply_total(1.0, 2.0, BOUNDARY + SECOND) == (1.0, True)
+    assert window.started_at == BOUNDARY + SECOND
+
+
+@pytest.mark.parametrize("clock_step", [0, 3 * SECOND, -3 * SECOND, 3_601 * SECOND])
+@pytest.mark.parametrize("mean_pause", [0.05, 0.4, 2.0])
+def test_adds_of_others_are_seen_whatever_one_of_two_clocks_says(mean_pause: float, clock_step: int) -> None:
+    random, totals, now = Random(1), Totals(), BOUNDARY
+    windows, clock_steps = [counter_window(now), counter_window(now + clock_step)], [0, clock_step]
+    seen, added = [0.0, 0.0], [0.0, 0.0]
+    for _ in range(int(400 / mean_pause)):
+        now += int(random.expovariate(1 / mean_pause) * SECOND)
+        gateway = random.randrange(2)
+        window, local_time = windows[gateway], now + clock_steps[gateway]
+        window.restart_if_expired(local_time)
+        total = totals.add(CounterAdd(NAME, 1.0, window.lifetime(local_time)), now)
+        seen[gateway] += window.apply_total(1.0, total, local_time).added_by_others
+        added[gateway] += 1.0
+    for gateway in (0, 1):
+        # What is added between a gateway's last total in a window and the window's end is not seen.
+        assert seen[gateway] >= added[1 - gateway] - 2.0 * totals.begun / max(1.0, mean_pause)
