--- a/rushroad/bench/simulated_experiments.py
+++ b/rushroad/bench/simulated_experiments.py
@@ -33,7 +33,7 @@
 from rushroad.policy.actions import SetTimer
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, TimerFired, UpdateKind
 from rushroad.policy.gateway import Gateway
-from rushroad.policy.subsetting import holders, sharers
+from rushroad.policy.subsetting import mean_replicas, replicas_of
 
 SIZES_COST = "3/40,200/40,30/200,200/200,100/2000,400/8000,4900/97000"
 SIZES_SPREAD = "10/40,30/12,200/200,400/2000,1000/20000,4900/97000"
@@ -171,10 +171,10 @@
 
 def holders_of(size: Size) -> Holders:
     """The gateways that may send to a server, by its name, in a fleet of this size."""
-    share = sharers(size.gateways, size.servers)
+    share = mean_replicas(size.gateways, size.servers)
     if share >= size.gateways:
         return lambda name: range(size.gateways)
-    return lambda name: holders(name, size.gateways, share)
+    return lambda name: replicas_of(name, size.gateways, share)
 
 
 def subsets(gateways: int, names: Sequence[str]) -> list[set[str]]:
@@ -232,8 +232,8 @@
 
     The servers that stay are the same: only members that come or go with the share count. 0: there is none.
     """
-    share, servers = sharers(size.gateways, size.servers), size.servers - 1
-    while servers > 0 and sharers(size.gateways, servers) == share:
+    share, servers = mean_replicas(size.gateways, size.servers), size.servers - 1
+    while servers > 0 and mean_replicas(size.gateways, servers) == share:
         servers -= 1
     if servers <= 0:
         return {"step_at_servers": 0, "step_members_mean": 0.0}
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -1,5 +1,5 @@
-"""The decisions of a gateway. Its messages are in `events.py` and `actions.py`, the
-servers that it keeps to in `rushroad/policy/subsetting.py`.
+"""The decisions of a gateway. Its messages are in `events.py` and `actions.py`, the endpoint list
+in `endpoints.py`, the part of it that a gateway keeps to in `subsetting.py`.
 
 A request's way, in the order of this file:
 
@@ -33,6 +33,7 @@
 )
 from rushroad.policy.clock_skew import ClockSkew
 from rushroad.policy.counter_window import ROUNDING_MARGIN, CounterWindow
+from rushroad.policy.endpoints import EndpointTable
 from rushroad.policy.events import (
     AttemptOutcome,
     ClientDisconnected,
@@ -48,7 +49,7 @@
     UpdateKind,
 )
 from rushroad.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
-from rushroad.policy.subsetting import SHARERS_FEW, Roster
+from rushroad.policy.subsetting import AFFORDABLE_REPLICAS
 
 SECOND = 1_000_000  # microseconds
 NAME_LIFE = 60 * SECOND  # microseconds; the longest that the counter keeps a name
@@ -331,7 +332,7 @@
             c.idempotency is Idempotency.IDEMPOTENCY_KEY and c.deduplication_scope is DeduplicationScope.CELL
             for c in settings.request_classes
         )
-        self._roster = Roster(settings.gateway_index, settings.fleet_size, cells)
+        self._table = EndpointTable(settings.gateway_index, settings.fleet_size, cells)
         self._looking: Iterator[Endpoint] | None = None  # over all entries, as their share has changed
         self._ready: list[_Server] = []  # those of the subset, and guests, that are ready
         self._kinds: dict[int, _Kind] = {}
@@ -757,7 +758,7 @@
     def _accrue(self) -> None:
         """Bring the credit up to now."""
         if self._pooled is not None:
-            gain = self._pooled.most * self._roster.expected() - self._live
+            gain = self._pooled.most * self._table.expected_subset_size() - self._live
             self._credit = min(self._longest, self._credit + gain * (self._now - self._credit_at))
         self._credit_at = self._now
 
@@ -803,7 +804,7 @@
 
     def _sharers(self) -> float:
         """Gateways that share a server, this one among them."""
-        return self._roster.share or self._s.fleet_size
+        return self._table.mean_replicas or self._s.fleet_size
 
     def _fill_up(self, suspects: int) -> None:
         """Guests from outside, while too few of the subset are warm and above suspicion; none for longer.
@@ -812,11 +813,11 @@
         that it can bear.
         """
         self._count_warm()
-        if self._roster.share >= self._s.fleet_size:
+        if self._table.mean_replicas >= self._s.fleet_size:
             return
-        good, need = self._warm - suspects, FILL_BELOW * self._roster.expected()
-        if good < need and len(self._ready) < 2.0 * self._roster.expected():
-            line = self._roster.outside(self._could_help, self._random)
+        good, need = self._warm - suspects, FILL_BELOW * self._table.expected_subset_size()
+        if good < need and len(self._ready) < 2.0 * self._table.expected_subset_size():
+            line = self._table.draw(self._could_help, self._random)
             if line is not None:
                 self._add_guest(line)
 
@@ -838,7 +839,7 @@
             or job.cls.deduplication_scope is not DeduplicationScope.CELL
         ):
             return None
-        line = self._roster.in_cell(job.ran[-1][0].cell, self._could_help, self._random)
+        line = self._table.draw_in_cell(job.ran[-1][0].cell, self._could_help, self._random)
         if line is None or not self._fits(job, line):
             return None
         return self._add_guest(line)
@@ -918,7 +919,7 @@
             return
         own = [s for s in self._ready if not s.guest]
         good = sum(not self._is_cold(s.line) and not self._suspect(s) for s in own)
-        if len(own) < len(self._ready) and good > FILL_BELOW * self._roster.expected():
+        if len(own) < len(self._ready) and good > FILL_BELOW * self._table.expected_subset_size():
             for guest in [s for s in self._ready if s.guest and not s.out]:
                 del self._servers[guest.line.name]
             self._ready = [s for s in self._ready if not s.guest or s.out]
@@ -1163,13 +1164,13 @@
         if event.kind is UpdateKind.CACHED_SNAPSHOT and event.last and self._s.polls_endpoints:
             self._out.append(WatchEndpoints(True))
         self._clock_skew.observe(event, self._now)
-        changed = self._roster.take(event)
-        anew = (event.last or event.kind is UpdateKind.DELTA) and self._roster.reshare()
+        changed = self._table.apply(event)
+        anew = (event.last or event.kind is UpdateKind.DELTA) and self._table.resize_subset()
         if anew:
-            if self._pooled is None and not self._servers and self._roster.share > SHARERS_FEW:
+            if self._pooled is None and not self._servers and self._table.mean_replicas > AFFORDABLE_REPLICAS:
                 # Its part of a server's limit is a fraction of an attempt, and it sees little of each.
-                self._pooled, self._calling = _Limit(LIMIT_START / self._roster.share, self._now), 0.5
-            running, self._looking = self._looking, self._roster.backwards()
+                self._pooled, self._calling = _Limit(LIMIT_START / self._table.mean_replicas, self._now), 0.5
+            running, self._looking = self._looking, self._table.iterate_backwards()
             if running is None:
                 self._look_on()
         for line in changed:
@@ -1194,7 +1195,7 @@
     def _update(self, line: Endpoint) -> None:
         """An entry as it is now: in the subset or not, perhaps gone or started again."""
         server = self._servers.get(line.name)
-        mine = line.state is not EndpointState.REMOVED and self._roster.mine(line)
+        mine = line.state is not EndpointState.REMOVED and self._table.in_subset(line)
         if server is not None and mine:
             server.guest = False
         if line.state is EndpointState.REMOVED or not (mine or (server is not None and server.guest)):
--- a/tests/bench/test_simulated_fleet.py
+++ b/tests/bench/test_simulated_fleet.py
@@ -9,7 +9,7 @@
 from rushroad.bench.report import Run
 from rushroad.bench.simulated_fleet import LIST_MOST, MS, SECOND, Attempt, Fleet, HollowServer, Size, size_of
 from rushroad.policy.events import Result
-from rushroad.policy.subsetting import SERVERS_MOST
+from rushroad.policy.subsetting import MAX_SUBSET_SIZE
 
 
 def fleet(size: str = "6/12", seed: int = 1, **words: int) -> Fleet:
@@ -138,7 +138,7 @@
 
 def test_a_request_looks_at_no_more_servers_in_a_longer_list() -> None:
     run = experiments.module_cost(experiments.sizes_of("50/1000,200/4000"), 100, 20.0, 1)
-    assert max(rows(run, "looked_at")) < 1.5 * SERVERS_MOST
+    assert max(rows(run, "looked_at")) < 1.5 * MAX_SUBSET_SIZE
 
 
 def test_spread_finds_servers_shared_alike_and_little_moved_by_a_join_or_leave() -> None:
--- /dev/null
+++ b/tests/policy/test_endpoints.py
@@ -0,0 +1,88 @@
+"""The endpoint table: snapshots in parts, deltas, long lists, removals."""
+
+from dataclasses import replace
+
+from rushroad.policy.endpoints import EndpointTable
+from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
+from rushroad.policy.gateway import SHARE_PART
+from rushroad.policy.subsetting import mean_replicas, replicas_of
+from tests.support.endpoint_lists import ENDPOINT_LIMITED, ready_endpoints, usable_names
+from tests.support.gateway_driver import MS, SECOND, Driver
+
+
+def test_snapshot_in_parts_removes_what_no_part_contains_only_after_the_last_part() -> None:
+    table, endpoints = EndpointTable(0, 3, index_cells=False), ready_endpoints(30)
+    table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 1, endpoints))
+    # This snapshot is broken off; the next first part begins a new one.
+    assert table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[:10], last=False)) == []
+    table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[10:20], last=False))
+    assert table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[:15], last=False)) == []
+    removed = table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[15:28], first=False))
+    assert {endpoint.name for endpoint in removed} == {endpoint.name for endpoint in endpoints[28:]}
+    assert {endpoint.state for endpoint in removed} == {EndpointState.REMOVED}
+    assert table.ready_count == 28
+
+
+def test_draining_endpoint_in_an_early_part_of_a_snapshot_gets_no_attempts() -> None:
+    driver, endpoints = Driver(ENDPOINT_LIMITED, servers=0), ready_endpoints(12)
+    driver.members(*endpoints, kind=UpdateKind.CACHED_SNAPSHOT)
+    subset = usable_names(driver.gateway)
+    draining = [
+        replace(endpoint, state=EndpointState.DRAINING) for endpoint in endpoints if endpoint.name in subset
+    ][:3]
+    driver.told_off.update((endpoint.name, driver.now) for endpoint in draining)
+    driver.feed(EndpointUpdate(UpdateKind.SNAPSHOT, 2, tuple(draining), last=False))
+    driver.wait(1 * SECOND)
+    for tenant in range(30):
+        driver.admitted(tenant=tenant)  # the driver raises on an attempt to a draining endpoint
+        driver.finish()
+        driver.wait(10 * MS)
+
+
+def test_long_list_is_reviewed_in_parts_without_missing_an_endpoint() -> None:
+    settings, endpoints = replace(ENDPOINT_LIMITED, fleet_size=1_000), ready_endpoints(5 * SHARE_PART + 3)
+    driver = Driver(settings, servers=0)
+    reviewed = [0]  # endpoints, in each step of the gateway
+    update, look_on = driver.gateway._update, driver.gateway._look_on
+
+    def count_update(line: Endpoint) -> None:
+        reviewed[-1] += 1
+        update(line)
+
+    def count_step() -> None:
+        reviewed.append(0)
+        look_on()
+
+    driver.gateway._update = count_update  # type: ignore[method-assign]
+    driver.gateway._look_on = count_step  # type: ignore[method-assign]
+    for start in range(0, len(endpoints), 250):
+        reviewed.append(0)
+        end = start + 250
+        driver.feed(
+            EndpointUpdate(UpdateKind.SNAPSHOT, 1, endpoints[start:end], start == 0, end >= len(endpoints))
+        )
+    removed = replace(endpoints[3], state=EndpointState.REMOVED)
+    driver.feed(EndpointUpdate(UpdateKind.DELTA, 2, (removed,)))  # while the review is in progress
+    driver.wait(1 * SECOND)
+    mean = mean_replicas(1_000, len(endpoints))
+    assert max(reviewed) <= SHARE_PART + 250
+    assert usable_names(driver.gateway) == {
+        endpoint.name
+        for endpoint in endpoints
+        if endpoint.name != removed.name and 0 in replicas_of(endpoint.name, 1_000, mean)
+    }
+
+
+def test_thousands_of_endpoints_removed_in_one_delta_get_no_attempts() -> None:
+    driver = Driver(replace(ENDPOINT_LIMITED, fleet_size=490), servers=0)
+    endpoints = ready_endpoints(9_700)
+    driver.members(*endpoints, kind=UpdateKind.CACHED_SNAPSHOT)
+    driver.wait(1 * SECOND)
+    driver.members(
+        *(replace(endpoint, state=EndpointState.REMOVED) for endpoint in endpoints if endpoint.cell % 24 == 0)
+    )
+    driver.wait(1 * SECOND)
+    for tenant in range(200):
+        driver.admitted(tenant=tenant)  # the driver raises on an attempt to a removed endpoint
+        driver.finish()
+        driver.wait(5 * MS)
--- a/tests/policy/test_large_fleets.py
+++ b/tests/policy/test_large_fleets.py
@@ -10,7 +10,7 @@
 from rushroad.policy.events import CounterReply, Endpoint, EndpointState, Result, UpdateKind
 from rushroad.policy.gateway import _Server
 from rushroad.policy.settings import Idempotency
-from rushroad.policy.subsetting import SERVERS_LEAST, SERVERS_MOST
+from rushroad.policy.subsetting import MAX_SUBSET_SIZE, MIN_SUBSET_SIZE
 from tests.support.gateway_driver import (
     CEILING,
     IDEMPOTENCY_KEY,
@@ -106,7 +106,7 @@
 
     driver.gateway._wait = noted  # type: ignore[method-assign]
     driver.admitted()
-    assert 0 < len(seen) <= most < 1.5 * SERVERS_MOST
+    assert 0 < len(seen) <= most < 1.5 * MAX_SUBSET_SIZE
 
 
 @pytest.mark.parametrize("servers", [84, 100, 200])
@@ -116,7 +116,7 @@
         driver = Driver(replace(NO_COUNTER, gateway_index=index), servers=0)
         driver.members(*lines(servers), kind=UpdateKind.CACHED_SNAPSHOT)
         sizes.append(len(driver.gateway._ready))
-    assert SERVERS_LEAST <= sum(sizes) / len(sizes) <= 1.03 * SERVERS_LEAST
+    assert MIN_SUBSET_SIZE <= sum(sizes) / len(sizes) <= 1.03 * MIN_SUBSET_SIZE
 
 
 def test_a_crowded_counter_is_called_for_fewer_requests_and_for_all_again_once_it_keeps_up() -> None:
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -1,34 +1,30 @@
-"""The bounded subset of servers: even, stable, the same after a restart, and filled up when it is bad."""
+"""Subsets of the endpoint list: even, stable, the same after a restart, and extended if unhealthy."""
 
 from collections import Counter
 from dataclasses import replace
+from itertools import pairwise
 
 import pytest
 
 from rushroad.policy.actions import StartAttempt
-from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, Result, UpdateKind
-from rushroad.policy.gateway import SHARE_PART, Gateway
-from rushroad.policy.settings import DeduplicationScope, Idempotency, Plan
-from rushroad.policy.subsetting import SERVERS_MOST, SHARE_STEP, Roster, holders, picks, sharers
-from tests.support.gateway_driver import IDEMPOTENCY_KEY, MS, SECOND, SETTINGS, START, Driver
-
-FREE = replace(SETTINGS, counter=None, plans=(Plan(),), fleet_size=200)  # nothing but servers limits it
-
-
-def ready(count: int, cell: int = 10) -> tuple[Endpoint, ...]:
-    """Ready servers, so many to a cell."""
-    return tuple(
-        Endpoint(f"10.{n // 62500}.{n // 250 % 250}.{n % 250 + 1}:80", EndpointState.READY, cell=n // cell)
-        for n in range(count)
-    )
-
+from rushroad.policy.events import EndpointState, EndpointUpdate, Result, UpdateKind
+from rushroad.policy.gateway import Gateway
+from rushroad.policy.settings import DeduplicationScope, Idempotency
+from rushroad.policy.subsetting import (
+    MAX_SUBSET_SIZE,
+    REPLICAS_STEP,
+    draw_replicas,
+    mean_replicas,
+    replicas_of,
+)
+from tests.support.endpoint_lists import ENDPOINT_LIMITED, ready_endpoints, usable_names
+from tests.support.gateway_driver import IDEMPOTENCY_KEY, SECOND, SETTINGS, START, Driver
 
-def subset(gateway: Gateway) -> set[str]:
-    return {server.line.name for server in gateway._ready}
+# --- replicas of an endpoint ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    ("gateways", "servers", "shared_by", "each", "load"),
+    ("gateways", "endpoints", "mean", "subset_sizes", "relative_loads"),
     [
         (200, 200, 8, (1, 19), (0.6, 1.8)),
         (30, 12, 20, (4, 12), (0.9, 1.1)),
@@ -36,202 +32,156 @@
         (4_900, 88_000, 3.125, (25, 100), (0.6, 1.7)),
     ],
 )
-def test_every_server_has_as_many_gateways_and_about_the_same_load(
-    gateways: int, servers: int, shared_by: float, each: tuple[int, int], load: tuple[float, float]
+def test_every_endpoint_has_as_many_replicas_and_about_the_same_load(
+    gateways: int,
+    endpoints: int,
+    mean: float,
+    subset_sizes: tuple[int, int],
+    relative_loads: tuple[float, float],
 ) -> None:
-    assert sharers(gateways, servers) == shared_by
-    drawn = [holders(line.name, gateways, shared_by) for line in ready(servers)]
-    assert {len(set(found)) for found in drawn} <= {int(shared_by), -int(-shared_by // 1)}
-    assert sum(map(len, drawn)) == pytest.approx(shared_by * servers, rel=0.05)
-    assert all(max(found) < gateways for found in drawn)
-    sizes = Counter(gateway for found in drawn for gateway in found)
-    assert each[0] <= min(sizes[g] for g in range(gateways)) <= max(sizes.values()) <= each[1]
-    loads = [sum(1.0 / sizes[gateway] for gateway in found) for found in drawn]
-    mean = sum(loads) / len(loads)
-    assert load[0] < min(loads) / mean <= max(loads) / mean < load[1]
-
-
-@pytest.mark.parametrize(("gateways", "servers"), [(1, 10), (3, 60), (4, 24), (8, 12), (6, 14)])
-def test_small_fleets_keep_all_their_servers(gateways: int, servers: int) -> None:
-    assert sharers(gateways, servers) == gateways
-
-
-def test_a_gateways_part_grows_and_shrinks_without_a_cliff_as_servers_come() -> None:
-    sizes = [sharers(4_900, servers) * servers / 4_900 for servers in range(1_000, 97_000, 500)]
-    assert min(sizes) >= 8.0 and max(sizes) <= 1.25 * SERVERS_MOST
-    assert all(0.75 < after / before < 1.34 for before, after in zip(sizes, sizes[1:], strict=False))
-
-
-def test_a_list_that_shrinks_moves_no_more_at_a_step_than_a_part_of_the_servers() -> None:
-    lines = ready(2_000)
-    before = sharers(400, 2_000)
-    fewer = next(servers for servers in range(1_999, 0, -1) if sharers(400, servers) != before)
-    after = sharers(400, fewer)
-    assert after == before + SHARE_STEP
-    drawn = [(holders(line.name, 400, before), holders(line.name, 400, after)) for line in lines]
-    assert all(new[: len(old)] == old for old, new in drawn)  # none is left for another one
-    assert sum(new != old for old, new in drawn) < 1.3 * SHARE_STEP * len(lines)
-
-
-def test_one_server_changes_only_the_subsets_that_hold_it_and_by_itself_alone() -> None:
-    lines = ready(100)
-    before = [set(holders(line.name, 200, sharers(200, 100))) for line in lines]
-    gateways = [Gateway(replace(FREE, gateway_index=index), seed=index, now=START) for index in range(200)]
-    changed, kept = 0, 0
-    for index, gateway in enumerate(gateways):
-        gateway.handle(START, EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, 1, lines))
-        whole = subset(gateway)
-        assert whole == {line.name for line, found in zip(lines, before, strict=True) if index in found}
-        gateway.handle(
-            START, EndpointUpdate(UpdateKind.DELTA, 2, (replace(lines[7], state=EndpointState.REMOVED),))
-        )
-        kept += whole - {lines[7].name} <= subset(gateway)  # 99 are shared by one gateway more
-        changed += lines[7].name in whole
-    assert changed == 16
-    assert kept == 200
-
-
-def test_a_gateway_has_the_subset_that_it_had_before_it_was_started_again() -> None:
-    settings, lines = replace(FREE, gateway_index=17), ready(150)
-    first, again = Gateway(settings, seed=1, now=START), Gateway(settings, seed=2, now=START + SECOND)
-    first.handle(START, EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, 1, lines))
-    again.handle(START + SECOND, EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, 1, tuple(reversed(lines))))
-    assert subset(first) == subset(again) != set()
-
-
-def test_a_fleet_that_grows_by_one_gateway_moves_few_servers() -> None:
-    moved = sum(len(set(picks(line.name, 201, 8)) - set(picks(line.name, 200, 8))) for line in ready(1_000))
+    assert mean_replicas(gateways, endpoints) == mean
+    replicas = [replicas_of(endpoint.name, gateways, mean) for endpoint in ready_endpoints(endpoints)]
+    assert {len(set(indexes)) for indexes in replicas} <= {int(mean), -int(-mean // 1)}
+    assert sum(map(len, replicas)) == pytest.approx(mean * endpoints, rel=0.05)
+    assert all(max(indexes) < gateways for indexes in replicas)
+    sizes = Counter(index for indexes in replicas for index in indexes)
+    assert subset_sizes[0] <= min(sizes[index] for index in range(gateways))
+    assert max(sizes.values()) <= subset_sizes[1]
+    loads = [sum(1.0 / sizes[index] for index in indexes) for indexes in replicas]
+    mean_load = sum(loads) / len(loads)
+    assert relative_loads[0] < min(loads) / mean_load <= max(loads) / mean_load < relative_loads[1]
+
+
+@pytest.mark.parametrize(("gateways", "endpoints"), [(1, 10), (3, 60), (4, 24), (8, 12), (6, 14)])
+def test_small_fleets_share_all_endpoints(gateways: int, endpoints: int) -> None:
+    assert mean_replicas(gateways, endpoints) == gateways
+
+
+def test_subset_size_changes_gradually_with_the_length_of_the_list() -> None:
+    sizes = [mean_replicas(4_900, endpoints) * endpoints / 4_900 for endpoints in range(1_000, 97_000, 500)]
+    assert min(sizes) >= 8.0
+    assert max(sizes) <= 1.25 * MAX_SUBSET_SIZE
+    assert all(0.75 < after / before < 1.34 for before, after in pairwise(sizes))
+
+
+def test_step_of_the_mean_adds_replicas_to_few_endpoints_and_takes_none_away() -> None:
+    endpoints = ready_endpoints(2_000)
+    before = mean_replicas(400, 2_000)
+    fewer = next(count for count in range(1_999, 0, -1) if mean_replicas(400, count) != before)
+    after = mean_replicas(400, fewer)
+    assert after == before + REPLICAS_STEP
+    replicas = [
+        (replicas_of(endpoint.name, 400, before), replicas_of(endpoint.name, 400, after))
+        for endpoint in endpoints
+    ]
+    assert all(new[: len(old)] == old for old, new in replicas)
+    assert sum(new != old for old, new in replicas) < 1.3 * REPLICAS_STEP * len(endpoints)
+
+
+def test_fleet_that_grows_by_one_gateway_moves_few_endpoints() -> None:
+    moved = sum(
+        len(set(draw_replicas(endpoint.name, 201, 8)) - set(draw_replicas(endpoint.name, 200, 8)))
+        for endpoint in ready_endpoints(1_000)
+    )
     assert moved < 3 * 8 * 1_000 / 201
 
 
-def test_a_server_outside_costs_nothing_but_its_entry() -> None:
-    driver = Driver(FREE, servers=0)
-    driver.members(*ready(400), kind=UpdateKind.CACHED_SNAPSHOT)
-    held = len(driver.gateway._servers)
-    outside = next(line for line in ready(400) if line.name not in driver.gateway._servers)
+# --- a gateway's subset ---------------------------------------------------------------------------------
+
+
+def test_removed_endpoint_changes_only_the_subsets_that_held_it() -> None:
+    endpoints = ready_endpoints(100)
+    removed = endpoints[7]
+    replicas = [set(replicas_of(entry.name, 200, mean_replicas(200, 100))) for entry in endpoints]
+    changed_subsets, kept_subsets = 0, 0
+    for index in range(200):
+        gateway = Gateway(replace(ENDPOINT_LIMITED, gateway_index=index), seed=index, now=START)
+        gateway.handle(START, EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, 1, endpoints))
+        subset = usable_names(gateway)
+        assert subset == {
+            entry.name for entry, indexes in zip(endpoints, replicas, strict=True) if index in indexes
+        }
+        delta = (replace(removed, state=EndpointState.REMOVED),)
+        gateway.handle(START, EndpointUpdate(UpdateKind.DELTA, 2, delta))
+        # The 99 that stay have one replica more.
+        kept_subsets += subset - {removed.name} <= usable_names(gateway)
+        changed_subsets += removed.name in subset
+    assert changed_subsets == 16
+    assert kept_subsets == 200
+
+
+def test_subset_is_the_same_after_a_restart() -> None:
+    settings, endpoints = replace(ENDPOINT_LIMITED, gateway_index=17), ready_endpoints(150)
+    before, after = Gateway(settings, seed=1, now=START), Gateway(settings, seed=2, now=START + SECOND)
+    before.handle(START, EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, 1, endpoints))
+    after.handle(START + SECOND, EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, 1, tuple(reversed(endpoints))))
+    assert usable_names(before) == usable_names(after) != set()
+
+
+def test_endpoint_outside_the_subset_has_no_state_but_its_entry() -> None:
+    driver = Driver(ENDPOINT_LIMITED, servers=0)
+    driver.members(*ready_endpoints(400), kind=UpdateKind.CACHED_SNAPSHOT)
+    tracked = len(driver.gateway._servers)
+    outside = next(entry for entry in ready_endpoints(400) if entry.name not in driver.gateway._servers)
     driver.members(replace(outside, started_at=driver.now))
-    assert len(driver.gateway._servers) == held < 40
-
-
-def test_a_whole_list_in_parts_ends_what_none_of_them_names_and_only_once_it_is_whole() -> None:
-    roster, lines = Roster(0, 3, cells=False), ready(30)
-    roster.take(EndpointUpdate(UpdateKind.SNAPSHOT, 1, lines))
-    assert (
-        roster.take(EndpointUpdate(UpdateKind.SNAPSHOT, 2, lines[:10], last=False)) == []
-    )  # and it was broken off
-    roster.take(EndpointUpdate(UpdateKind.SNAPSHOT, 2, lines[10:20], last=False))
-    assert (
-        roster.take(EndpointUpdate(UpdateKind.SNAPSHOT, 2, lines[:15], last=False)) == []
-    )  # the next one begins anew
-    gone = roster.take(EndpointUpdate(UpdateKind.SNAPSHOT, 2, lines[15:28], first=False))
-    assert {line.name for line in gone} == {line.name for line in lines[28:]}
-    assert {line.state for line in gone} == {EndpointState.REMOVED}
-    assert roster.ready == 28
-
-
-def test_what_a_part_tells_of_a_drained_server_holds_at_once() -> None:
-    driver, lines = Driver(FREE, servers=0), ready(12)
-    driver.members(*lines, kind=UpdateKind.CACHED_SNAPSHOT)
-    own = subset(driver.gateway)
-    off = [replace(line, state=EndpointState.DRAINING) for line in lines if line.name in own][:3]
-    driver.told_off.update((line.name, driver.now) for line in off)
-    driver.feed(EndpointUpdate(UpdateKind.SNAPSHOT, 2, tuple(off), last=False))
-    driver.wait(1 * SECOND)
-    for tenant in range(30):
-        driver.admitted(tenant=tenant)  # the driver's referee raises on an attempt to one told off
-        driver.finish()
-        driver.wait(10 * MS)
-
-
-def test_a_long_list_is_looked_at_in_parts_and_nothing_is_passed_over() -> None:
-    settings, lines = replace(FREE, fleet_size=1_000), ready(5 * SHARE_PART + 3)
-    driver = Driver(settings, servers=0)
-    looked: list[int] = [0]
-    update = driver.gateway._update
-
-    def counted(line: Endpoint) -> None:
-        looked[-1] += 1
-        update(line)
-
-    driver.gateway._update = counted  # type: ignore[method-assign]
-    handle = driver.gateway._look_on
-
-    def parted() -> None:
-        looked.append(0)
-        handle()
-
-    driver.gateway._look_on = parted  # type: ignore[method-assign]
-    for at in range(0, len(lines), 250):
-        looked.append(0)
-        part = EndpointUpdate(UpdateKind.SNAPSHOT, 1, lines[at : at + 250], at == 0, at + 250 >= len(lines))
-        driver.feed(part)
-    driver.feed(
-        EndpointUpdate(UpdateKind.DELTA, 2, (replace(lines[3], state=EndpointState.REMOVED),))
-    )  # in the middle of it
-    driver.wait(1 * SECOND)
-    share = sharers(1_000, len(lines))
-    assert max(looked) <= SHARE_PART + 250
-    assert subset(driver.gateway) == {
-        line.name for line in lines if line != lines[3] and 0 in holders(line.name, 1_000, share)
-    }
+    assert len(driver.gateway._servers) == tracked < 40
 
 
-def test_thousands_gone_in_one_message_are_sent_nothing() -> None:
-    driver, lines = Driver(replace(FREE, fleet_size=490), servers=0), ready(9_700)
-    driver.members(*lines, kind=UpdateKind.CACHED_SNAPSHOT)
-    driver.wait(1 * SECOND)
-    driver.members(*(replace(line, state=EndpointState.REMOVED) for line in lines if line.cell % 24 == 0))
-    driver.wait(1 * SECOND)
-    for tenant in range(200):
-        driver.admitted(tenant=tenant)
-        driver.finish()
-        driver.wait(5 * MS)
+# --- endpoints borrowed from outside the subset ---------------------------------------------------------
 
 
-def test_a_subset_that_drains_is_filled_up_by_each_gateway_with_other_servers() -> None:
-    lines, guests = ready(100), Counter[str]()
+def test_draining_subset_is_extended_by_each_gateway_with_other_endpoints() -> None:
+    endpoints, borrowed = ready_endpoints(100), Counter[str]()
     for index in range(40):
-        driver = Driver(replace(FREE, gateway_index=index), servers=0, seed=index)
-        driver.members(*lines, kind=UpdateKind.CACHED_SNAPSHOT)
-        own = subset(driver.gateway)
-        driver.members(*(replace(line, state=EndpointState.DRAINING) for line in lines if line.name in own))
+        driver = Driver(replace(ENDPOINT_LIMITED, gateway_index=index), servers=0, seed=index)
+        driver.members(*endpoints, kind=UpdateKind.CACHED_SNAPSHOT)
+        subset = usable_names(driver.gateway)
+        driver.members(
+            *(replace(entry, state=EndpointState.DRAINING) for entry in endpoints if entry.name in subset)
+        )
         driver.wait(2 * SECOND)
         for tenant in range(8):
             driver.admitted(tenant=tenant)
             driver.finish()
-        guests.update(subset(driver.gateway) - own)
-    assert len(guests) > 60
-    assert max(guests.values()) <= 8
-
-
-def test_guests_are_not_cold_and_leave_when_the_subset_is_good_again() -> None:
-    driver, lines = Driver(FREE, servers=0), ready(100)
-    driver.members(*lines, kind=UpdateKind.CACHED_SNAPSHOT)
-    own = subset(driver.gateway)
-    cold = [replace(line, started_at=driver.now) for line in lines if line.name in own or line.cell < 5]
-    driver.members(*cold)
+        borrowed.update(usable_names(driver.gateway) - subset)
+    assert len(borrowed) > 60
+    assert max(borrowed.values()) <= 8
+
+
+def test_borrowed_endpoints_are_warm_and_given_back_when_the_subset_is_healthy() -> None:
+    driver, endpoints = Driver(ENDPOINT_LIMITED, servers=0), ready_endpoints(100)
+    driver.members(*endpoints, kind=UpdateKind.CACHED_SNAPSHOT)
+    subset = usable_names(driver.gateway)
+    warming_up = [
+        replace(entry, started_at=driver.now) for entry in endpoints if entry.name in subset or entry.cell < 5
+    ]
+    driver.members(*warming_up)
     for tenant in range(8):
         driver.admitted(tenant=tenant)
         driver.finish()
-    guests = subset(driver.gateway) - own
-    assert guests and not guests & {line.name for line in cold}
+    borrowed = usable_names(driver.gateway) - subset
+    assert borrowed
+    assert not borrowed & {entry.name for entry in warming_up}
     driver.wait(SETTINGS.safety.warm_up_time + 2 * SECOND)
     driver.admitted(tenant=100)
-    assert subset(driver.gateway) == own
+    assert usable_names(driver.gateway) == subset
 
 
-def test_a_keyed_request_goes_on_in_its_cell_outside_the_subset() -> None:
+def test_retry_with_an_idempotency_key_stays_in_its_cell_outside_the_subset() -> None:
     classes = tuple(
-        replace(cls, deduplication_scope=DeduplicationScope.CELL) for cls in SETTINGS.request_classes
+        replace(request_class, deduplication_scope=DeduplicationScope.CELL)
+        for request_class in SETTINGS.request_classes
     )
     assert classes[IDEMPOTENCY_KEY].idempotency is Idempotency.IDEMPOTENCY_KEY
-    driver, lines = Driver(replace(FREE, request_classes=classes, fleet_size=1_000), servers=0), ready(20_000)
-    driver.members(*lines, kind=UpdateKind.CACHED_SNAPSHOT)
+    settings = replace(ENDPOINT_LIMITED, request_classes=classes, fleet_size=1_000)
+    driver, endpoints = Driver(settings, servers=0), ready_endpoints(20_000)
+    driver.members(*endpoints, kind=UpdateKind.CACHED_SNAPSHOT)
     driver.wait(1 * SECOND)
-    cells = {line.name: line.cell for line in lines}
+    cells = {endpoint.name: endpoint.cell for endpoint in endpoints}
     for tenant in range(8):  # as many as the retry budget bears
         first = driver.admitted(cls=IDEMPOTENCY_KEY, tenant=tenant)
-        (again,) = (a for a in driver.outcome(first.request_id, Result.ERROR) if isinstance(a, StartAttempt))
-        assert cells[again.endpoint] == cells[first.endpoint]
+        actions = driver.outcome(first.request_id, Result.ERROR)
+        (retry,) = (action for action in actions if isinstance(action, StartAttempt))
+        assert cells[retry.endpoint] == cells[first.endpoint]
         driver.finish()
         driver.wait(5 * SECOND)
