--- a/rushroad/policy/settings_reader.py
+++ b/rushroad/policy/settings_reader.py
@@ -1,9 +1,14 @@
-"""Reads a deployment's settings, as the simulator and the configuration file give them."""
+"""Reads the settings document of a deployment: the one place that knows the operators' keys.
+
+The simulator and the configuration file give the same document, an object as decoded from JSON. Unknown keys
+are ignored.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, TypeVar
 
 from rushroad.policy.settings import (
     CounterSettings,
@@ -17,110 +22,197 @@
     SettingsError,
 )
 
-EFFECTS = {
+Term = TypeVar("Term")
+
+IDEMPOTENCY_BY_EFFECT = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.IDEMPOTENCY_KEY,
     "once": Idempotency.NOT_IDEMPOTENT,
 }
-GROUPS = {group.value: group for group in DeduplicationScope}
+SCOPE_BY_GROUP = {scope.value: scope for scope in DeduplicationScope}
+WEIGHTS_IN_USE = ("nominal", "rough")
 
 
-def read_settings(facts: Any) -> Settings:
-    """Settings from the object that a gateway is given at its start; unknown keys are skipped."""
-    try:
-        limits, safety = facts["limits"], facts["safety"]
-        extra, report = facts.get("extra", {}), facts.get("report", {})
-        classes = tuple(
-            RequestClass(
-                idempotency=EFFECTS[c["effect"]],
-                latency_objective=c["goalTimeUs"],
-                deadline=c["giveUpUs"],
-                priority_weight=c["gain"],
-                late_weight=c.get("lateWorth", 0.0),
-                deduplication_scope=GROUPS[c.get("group", "all")],
-                deduplication_window=c.get("windowUs", 0),
-                streamed=c.get("streamed", False),
-            )
-            for c in facts["classes"]
-        )
-        plans = tuple(
-            Plan(
-                rate=p.get("quotaRate", 0.0),
-                burst=p.get("mostAtOnce", 0.0),
-                concurrency=p.get("concurrency", 0),
-                ceiling_rate=p.get("neverOverRate", 0.0),
-                ceiling_burst=p.get("ceilingBurst", 0.0),
-                ceiling_slack=p.get("hardSlack", 0.0),
-                price=p.get("pays", 1.0),
-                overage_weight=p.get("beyondEarns", 0.0),
-                overage_cost=p.get("overCost", 0.0),
-            )
-            for p in facts["packages"]
-        )
-        return Settings(
-            request_classes=classes,
-            plans=plans,
-            fleet_size=facts["fleetSize"],
-            gateway_index=facts["selfIndex"],
-            zone=facts.get("zone", 0),
-            tick=facts["tickUs"],
-            limits=Limits(
-                max_attempts=limits["maxAttempts"],
-                hedging_allowed=limits.get("secondCopies", False),
-                cancellation_allowed=limits.get("mayCancel", False),
-                health_checks_allowed=limits.get("probing", False),
-                peer_messages_allowed=limits.get("peers", False),
-                retry_after=limits.get("retryAfter", False),
-                max_retry_after=limits.get("maxRetryAfterUs", 0),
-                connect_timeout=limits.get("connectTimeoutUs", 0),
-            ),
-            safety=SafetyLimits(
-                answer_slack=safety["answerSlackUs"],
-                drain_grace=safety["stopSendingWithinUs"],
-                initial_capacity=safety["coldFrom"],
-                warm_up_time=safety["coldUs"],
-                overload_multiple=safety["tipMultiple"],
-                overload_window=safety["fallUs"],
-                poll_interval=safety.get("askWithinUs", 0),
-            ),
-            counter=CounterSettings(timeout=extra["countLimitUs"], price=extra.get("callPrice", 0.0))
-            if extra.get("counter")
-            else None,
-            max_units=extra.get("unitsTop", 1),
-            settles_units=extra.get("truedUp", False),
-            endpoint_weights=facts.get("weights", "off") in ("nominal", "rough"),
-            polls_endpoints=facts.get("registryMode") == "subscribe",
-            load_report_fields=tuple(report.get("fields", ())),
-            load_reports_by_health_check=report.get("via") == "on_probe",
-        )
-    except KeyError as missing:
-        raise SettingsError(f"settings lack the key, or have unknown word: {missing.args[0]}") from None
-    except (TypeError, AttributeError) as wrong:
-        raise SettingsError(f"settings have a value of the wrong type: {wrong}") from None
+class _Section:
+    """An object in the document, with its path for error messages."""
+
+    __slots__ = ("_path", "_values")
+
+    def __init__(self, value: Any, path: str) -> None:
+        if not isinstance(value, dict):
+            raise _wrong_type(path or "settings", "an object", value)
+        self._values: dict[str, Any] = value
+        self._path = path
+
+    def required(self, key: str) -> Any:
+        if key not in self._values:
+            raise SettingsError(f"settings lack the key {self._path_of(key)}")
+        return self._values[key]
+
+    def optional(self, key: str, default: Any) -> Any:
+        return self._values.get(key, default)
+
+    def section(self, key: str) -> _Section:
+        return _Section(self.required(key), self._path_of(key))
+
+    def optional_section(self, key: str) -> _Section:
+        return _Section(self.optional(key, {}), self._path_of(key))
+
+    def sections(self, key: str) -> list[_Section]:
+        """The objects of a list."""
+        path, values = self._path_of(key), self.required(key)
+        try:
+            return [_Section(value, f"{path}[{index}]") for index, value in enumerate(values)]
+        except TypeError:
+            raise _wrong_type(path, "a list of objects", values) from None
+
+    def strings(self, key: str) -> tuple[str, ...]:
+        """The strings of a list; none where the key is missing."""
+        values = self.optional(key, ())
+        try:
+            return tuple(values)
+        except TypeError:
+            raise _wrong_type(self._path_of(key), "a list of strings", values) from None
+
+    def integer(self, key: str) -> int:
+        value = self.required(key)
+        try:
+            return int(value)
+        except (TypeError, ValueError):
+            raise _wrong_type(self._path_of(key), "an integer", value) from None
+
+    def term(self, key: str, terms: Mapping[str, Term], default: str | None = None) -> Term:
+        """The term for a word of the operators."""
+        word = self.required(key) if default is None else self.optional(key, default)
+        if not isinstance(word, str) or word not in terms:
+            expected = ", ".join(sorted(terms))
+            raise SettingsError(f"settings: {self._path_of(key)} must be one of {expected}, not {word!r}")
+        return terms[word]
+
+    def _path_of(self, key: str) -> str:
+        return f"{self._path}.{key}" if self._path else key
+
+
+def _wrong_type(path: str, expected: str, value: Any) -> SettingsError:
+    return SettingsError(
+        f"settings have a value of the wrong type: {path} must be {expected}, not {type(value).__name__}"
+    )
+
+
+def read_settings(document: Any) -> Settings:
+    """The settings that decisions depend on.
+
+    Raises SettingsError where a required key is missing, a word is unknown, or an object or list has another
+    type. The types of single numbers and flags are not checked.
+    """
+    root = _Section(document, "")
+    limits, safety = root.section("limits"), root.section("safety")
+    extra, load_report = root.optional_section("extra"), root.optional_section("report")
+    return Settings(
+        request_classes=tuple(_read_request_class(section) for section in root.sections("classes")),
+        plans=tuple(_read_plan(section) for section in root.sections("packages")),
+        fleet_size=root.required("fleetSize"),
+        gateway_index=root.required("selfIndex"),
+        zone=root.optional("zone", 0),
+        tick=root.required("tickUs"),
+        limits=_read_limits(limits),
+        safety=_read_safety_limits(safety),
+        counter=_read_counter(extra) if extra.optional("counter", False) else None,
+        max_units=extra.optional("unitsTop", 1),
+        settles_units=extra.optional("truedUp", False),
+        endpoint_weights=root.optional("weights", "off") in WEIGHTS_IN_USE,
+        polls_endpoints=root.optional("registryMode", None) == "subscribe",
+        load_report_fields=load_report.strings("fields"),
+        load_reports_by_health_check=load_report.optional("via", None) == "on_probe",
+    )
+
+
+def _read_request_class(section: _Section) -> RequestClass:
+    return RequestClass(
+        idempotency=section.term("effect", IDEMPOTENCY_BY_EFFECT),
+        latency_objective=section.required("goalTimeUs"),
+        deadline=section.required("giveUpUs"),
+        priority_weight=section.required("gain"),
+        late_weight=section.optional("lateWorth", 0.0),
+        deduplication_scope=section.term("group", SCOPE_BY_GROUP, DeduplicationScope.ALL.value),
+        deduplication_window=section.optional("windowUs", 0),
+        streamed=section.optional("streamed", False),
+    )
+
+
+def _read_plan(section: _Section) -> Plan:
+    return Plan(
+        rate=section.optional("quotaRate", 0.0),
+        burst=section.optional("mostAtOnce", 0.0),
+        concurrency=section.optional("concurrency", 0),
+        ceiling_rate=section.optional("neverOverRate", 0.0),
+        ceiling_burst=section.optional("ceilingBurst", 0.0),
+        ceiling_slack=section.optional("hardSlack", 0.0),
+        price=section.optional("pays", 1.0),
+        overage_weight=section.optional("beyondEarns", 0.0),
+        overage_cost=section.optional("overCost", 0.0),
+    )
+
+
+def _read_limits(section: _Section) -> Limits:
+    return Limits(
+        max_attempts=section.required("maxAttempts"),
+        hedging_allowed=section.optional("secondCopies", False),
+        cancellation_allowed=section.optional("mayCancel", False),
+        health_checks_allowed=section.optional("probing", False),
+        peer_messages_allowed=section.optional("peers", False),
+        retry_after=section.optional("retryAfter", False),
+        max_retry_after=section.optional("maxRetryAfterUs", 0),
+        connect_timeout=section.optional("connectTimeoutUs", 0),
+    )
+
+
+def _read_safety_limits(section: _Section) -> SafetyLimits:
+    return SafetyLimits(
+        answer_slack=section.required("answerSlackUs"),
+        drain_grace=section.required("stopSendingWithinUs"),
+        initial_capacity=section.required("coldFrom"),
+        warm_up_time=section.required("coldUs"),
+        overload_multiple=section.required("tipMultiple"),
+        overload_window=section.required("fallUs"),
+        poll_interval=section.optional("askWithinUs", 0),
+    )
+
+
+def _read_counter(section: _Section) -> CounterSettings:
+    return CounterSettings(timeout=section.required("countLimitUs"), price=section.optional("callPrice", 0.0))
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
-    """What only sockets need of the settings: numbers behind names, and how long a connection may idle."""
+class ProxySettings:
+    """The settings that only the proxy needs: decisions know classes, plans and zones by number."""
+
+    class_indexes: dict[str, int]  # into Settings.request_classes, by name
+    plan_indexes: dict[str, int]  # into Settings.plans, by name
+    endpoint_class_numbers: dict[str, int]
+    zone_numbers: dict[str, int]
+    idle_timeout: int  # microseconds after which an endpoint closes an idle connection
+
+
+def read_proxy_settings(document: Any) -> ProxySettings:
+    """The settings that decisions do not need; raises SettingsError like read_settings."""
+    root = _Section(document, "")
+    return ProxySettings(
+        class_indexes=_read_names(root.sections("classes")),
+        plan_indexes=_read_names(root.sections("packages")),
+        endpoint_class_numbers=_number(root.strings("kinds"), "kinds"),
+        zone_numbers=_number(root.strings("areas"), "areas"),
+        idle_timeout=root.section("limits").integer("connIdleUs"),
+    )
+
 
-    classes: dict[str, int]
-    plans: dict[str, int]
-    kinds: dict[str, int]
-    zones: dict[str, int]
-    idle: int  # microseconds after which a server closes an idle connection at the latest
+def _read_names(sections: list[_Section]) -> dict[str, int]:
+    return _number([section.required("name") for section in sections], "name")
 
 
-def read_names(facts: Any) -> Names:
-    """The part of the settings that the decisions do not need."""
+def _number(names: Sequence[str], key: str) -> dict[str, int]:
+    """The position of each name."""
     try:
-        return Names(
-            classes={c["name"]: number for number, c in enumerate(facts["classes"])},
-            plans={p["name"]: number for number, p in enumerate(facts["packages"])},
-            kinds={name: number for number, name in enumerate(facts.get("kinds", ()))},
-            zones={name: number for number, name in enumerate(facts.get("areas", ()))},
-            idle=int(facts["limits"]["connIdleUs"]),
-        )
-    except KeyError as missing:
-        raise SettingsError(f"settings lack the key: {missing.args[0]}") from None
-    except (TypeError, AttributeError, ValueError) as wrong:
-        raise SettingsError(f"settings have a value of the wrong type: {wrong}") from None
+        return {name: number for number, name in enumerate(names)}
+    except TypeError:  # not hashable
+        raise SettingsError(f"settings have a value of the wrong type: {key} must be a string") from None
--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from rushroad.policy.events import EndpointUpdate, UpdateKind
-from rushroad.policy.settings_reader import Names, read_names, read_settings
+from rushroad.policy.settings_reader import ProxySettings, read_proxy_settings, read_settings
 from rushroad.proxy.client_connection import ClientListener, Terms
 from rushroad.proxy.counter_client import CounterClient
 from rushroad.proxy.discovery import UNREADABLE, Discovery, EndpointDecoder, Line, News, read_address
@@ -101,7 +101,7 @@
             self._loop.call_soon(gc.freeze)  # behind the module, which has them next
 
 
-async def read_known(names: Names, memory: int, news: News) -> int:
+async def read_known(names: ProxySettings, memory: int, news: News) -> int:
     """Tell the list as this gateway last had it; its version, or 0 where discovery has to tell all of it."""
     lists = EndpointDecoder(names, memory, UpdateKind.CACHED_SNAPSHOT, ("known",))
     version = 0
@@ -126,7 +126,7 @@
         loop.add_signal_handler(number, stop.set)
     loop.set_exception_handler(log.exception)
     config = await persist(read_config)
-    settings, names = read_settings(config["settings"]), read_names(config["settings"])
+    settings, names = read_settings(config["settings"]), read_proxy_settings(config["settings"])
     sockets = int(config["limits"]["sockets"]) - OWN_SOCKETS
     memory = int(config["limits"]["memory_mb"] * 1e6)
     most = int(sockets * SERVER_PART)
@@ -134,7 +134,7 @@
 
     seed = int(config["seed"], 16)
     engine = Engine(settings, seed, loop)
-    servers = engine.backend = Upstream(engine, settings, names.idle, most, loop)
+    servers = engine.backend = Upstream(engine, settings, names.idle_timeout, most, loop)
     counter = None
     if settings.counter is not None:
         counter = CounterClient(read_address(config["counter"]), settings.counter.timeout, engine.post, loop)
--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -13,7 +13,7 @@
 from typing import cast
 
 from rushroad.policy.settings import Idempotency, Settings
-from rushroad.policy.settings_reader import Names
+from rushroad.policy.settings_reader import ProxySettings
 from rushroad.proxy import resp
 from rushroad.proxy.arrival_times import Arrivals
 from rushroad.proxy.engine import Engine
@@ -76,12 +76,12 @@
     longest: float = 0.0  # seconds that a client waits for its answer at the most
 
     @classmethod
-    def of(cls, settings: Settings, names: Names) -> Terms:
+    def of(cls, settings: Settings, names: ProxySettings) -> Terms:
         """Of these settings."""
         return cls(
-            {name.encode(): number for name, number in names.classes.items()},
+            {name.encode(): number for name, number in names.class_indexes.items()},
             tuple(c.idempotency is not Idempotency.IDEMPOTENT for c in settings.request_classes),
-            {name.encode(): number for name, number in names.plans.items()},
+            {name.encode(): number for name, number in names.plan_indexes.items()},
             settings.max_units,
             settings.fleet_size,
             max(cls.deadline for cls in settings.request_classes) / 1e6,
--- a/rushroad/proxy/discovery.py
+++ b/rushroad/proxy/discovery.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
-from rushroad.policy.settings_reader import Names
+from rushroad.policy.settings_reader import ProxySettings
 from rushroad.proxy.backoff import Backoff
 from rushroad.proxy.json_splitter import Cutter, Run
 from rushroad.proxy.nonblocking_log import log
@@ -90,7 +90,7 @@
     )
 
 
-def _read_entry(item: Any, names: Names) -> Line:
+def _read_entry(item: Any, names: ProxySettings) -> Line:
     """An entry. One that must be sent nothing is taken by its name alone where the rest can't be read."""
     strict = isinstance(item, Entry)
     state = STATES[item.lifecycle if strict else item["lifecycle"]]
@@ -102,14 +102,14 @@
         return Endpoint(str(item.instance_id if strict else item["instanceId"]), state), NOWHERE
 
 
-def _read_whole(entry: Entry, state: EndpointState, names: Names) -> Line:
+def _read_whole(entry: Entry, state: EndpointState, names: ProxySettings) -> Line:
     if not math.isfinite(entry.weight):
         raise ValueError("weight")
     member = Endpoint(
         name=entry.instance_id,
         state=state,
-        endpoint_class=names.kinds.get(cast(str, entry.machine_type), 0),
-        zone=names.zones.get(cast(str, entry.zone), 0),
+        endpoint_class=names.endpoint_class_numbers.get(cast(str, entry.machine_type), 0),
+        zone=names.zone_numbers.get(cast(str, entry.zone), 0),
         cell=entry.cell,
         started_at=entry.started_at_ms * 1_000,
         weight=entry.weight,
@@ -148,7 +148,7 @@
     """
 
     def __init__(
-        self, names: Names, memory: int, kind: UpdateKind | None = None, within: tuple[str, ...] = ()
+        self, names: ProxySettings, memory: int, kind: UpdateKind | None = None, within: tuple[str, ...] = ()
     ) -> None:
         """memory: bytes that the gateway may use; kind: None where each list tells it itself.
 
@@ -374,7 +374,7 @@
         self,
         address: Address,
         version: int,
-        names: Names,
+        names: ProxySettings,
         news: News,
         loop: asyncio.AbstractEventLoop,
         chance: random.Random,
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -7,13 +7,15 @@
 import uvloop
 
 from rushroad.policy.events import Result
-from rushroad.policy.settings_reader import Names
+from rushroad.policy.settings_reader import ProxySettings
 from rushroad.proxy.client_connection import Terms
 from rushroad.proxy.engine import Attempt, Clock
 from rushroad.proxy.resp import pack
 
 LOCAL = "127.0.0.1"
-NAMES = Names({"lookup": 0, "order": 1}, {"basic": 0}, {"box": 1}, {"room": 0}, idle=15_000_000)
+NAMES = ProxySettings(
+    {"lookup": 0, "order": 1}, {"basic": 0}, {"box": 1}, {"room": 0}, idle_timeout=15_000_000
+)
 TERMS = Terms({b"lookup": 0, b"order": 1}, (False, True), {b"basic": 0}, most_units=4.0, gateways=3)
 TENANT = b"00000000000000ab"
 
