--- a/rushroad/policy/active_endpoints.py
+++ b/rushroad/policy/active_endpoints.py
@@ -8,13 +8,13 @@
 
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter, EndpointConcurrency
 from rushroad.policy.durations import SECOND
+from rushroad.policy.endpoints import EndpointTable
 from rushroad.policy.events import Endpoint, EndpointState
 from rushroad.policy.latency import RelativeLatency
 from rushroad.policy.load_estimate import LoadEstimate
 from rushroad.policy.outlier_detection import OutlierDetector, OutlierState
 from rushroad.policy.settings import Settings
 from rushroad.policy.slow_start import SlowStart, SlowStartBudget
-from rushroad.policy.subsetting import Roster
 from rushroad.policy.throughput import ClassThroughput
 
 COUNT_INTERVAL = SECOND  # microseconds between counts of the warm endpoints
@@ -78,14 +78,14 @@
     def __init__(
         self,
         settings: Settings,
-        roster: Roster,
+        table: EndpointTable,
         limiter: ConcurrencyLimiter,
         outliers: OutlierDetector,
         slow_start: SlowStart,
         random: Random,
     ) -> None:
         self._fleet_size = settings.fleet_size
-        self._roster = roster
+        self._table = table
         self._limiter = limiter
         self._outliers = outliers
         self._slow_start = slow_start
@@ -113,7 +113,7 @@
         """Take in an entry of the list as it is now; `refresh` is due after the last one."""
         endpoint = self._endpoints.get(entry.name)
         is_removed = entry.state is EndpointState.REMOVED
-        in_subset = not is_removed and self._roster.mine(entry)
+        in_subset = not is_removed and self._table.in_subset(entry)
         if endpoint is not None and in_subset:
             endpoint.borrowed = False
         if is_removed or not (in_subset or (endpoint is not None and endpoint.borrowed)):
@@ -141,7 +141,7 @@
     def start_review(self) -> bool:
         """Review all entries anew, since endpoints have more or fewer replicas; False if one was running."""
         was_running = self._review is not None
-        self._review = self._roster.backwards()
+        self._review = self._table.iterate_backwards()
         return not was_running
 
     def review_next_part(self, now: int) -> bool:
@@ -163,12 +163,12 @@
         send all that it bears.
         """
         self._count_warm(now)
-        if self._roster.share >= self._fleet_size:
+        if self._table.mean_replicas >= self._fleet_size:
             return False
-        usual = self._roster.expected()
+        usual = self._table.expected_subset_size()
         if self._warm - suspects >= MIN_GOOD * usual or len(self.ready) >= MAX_ACTIVE * usual:
             return False
-        entry = self._roster.outside(lambda each: self._can_be_borrowed(each, now), self._random)
+        entry = self._table.draw(lambda each: self._can_be_borrowed(each, now), self._random)
         if entry is None:
             return False
         self.borrow(entry, now)
@@ -176,7 +176,7 @@
 
     def find_in_cell(self, cell: int, now: int) -> Endpoint | None:
         """Return an entry of a cell that can be borrowed, if cells matter and there is one."""
-        return self._roster.in_cell(cell, lambda each: self._can_be_borrowed(each, now), self._random)
+        return self._table.draw_in_cell(cell, lambda each: self._can_be_borrowed(each, now), self._random)
 
     def borrow(self, entry: Endpoint, now: int) -> ActiveEndpoint:
         """Add an endpoint from outside the subset; `refresh` is due after it."""
@@ -228,7 +228,7 @@
         good = sum(
             not self._slow_start.is_warming_up(e.entry, now) and e.entry.name not in suspects for e in own
         )
-        if good <= MIN_GOOD * self._roster.expected():
+        if good <= MIN_GOOD * self._table.expected_subset_size():
             return
         for endpoint in self.ready:
             if endpoint.borrowed and not endpoint.concurrency.in_flight:
--- a/rushroad/policy/concurrency_limit.py
+++ b/rushroad/policy/concurrency_limit.py
@@ -12,7 +12,7 @@
 from rushroad.policy.settings import RequestClass, Settings
 
 if TYPE_CHECKING:
-    from rushroad.policy.subsetting import Roster
+    from rushroad.policy.endpoints import EndpointTable
 
 INITIAL_LIMIT = 4.0  # attempts in flight at an endpoint, by all gateways: a few for each core
 INCREASE = 1.0  # attempts more, by all gateways, after as many timely responses as the limit
@@ -72,9 +72,9 @@
 class ConcurrencyLimiter:
     """Adapts the limits. In large fleets one limit is pooled for all endpoints."""
 
-    def __init__(self, settings: Settings, roster: Roster) -> None:
+    def __init__(self, settings: Settings, table: EndpointTable) -> None:
         self._fleet_size = settings.fleet_size
-        self._roster = roster
+        self._table = table
         longest = max(c.latency_objective for c in settings.request_classes)
         self._abandoned_time = int(ABANDONED_OBJECTIVES * longest)
         self.pooled: ConcurrencyLimit | None = None
@@ -82,11 +82,11 @@
     @property
     def replicas(self) -> float:
         """Gateways that share an endpoint, in the mean."""
-        return self._roster.share or self._fleet_size
+        return self._table.mean_replicas or self._fleet_size
 
     def pool(self, now: int) -> None:
         """Use one limit for all endpoints: this gateway's part of each is a fraction of an attempt."""
-        self.pooled = ConcurrencyLimit(INITIAL_LIMIT / self._roster.share, now)
+        self.pooled = ConcurrencyLimit(INITIAL_LIMIT / self._table.mean_replicas, now)
 
     def new_limit(self, now: int) -> ConcurrencyLimit:
         """Return the limit for an endpoint that is new here."""
--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -11,7 +11,7 @@
 from rushroad.policy.admission import Admission
 from rushroad.policy.counter_breaker import CounterBreaker
 from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, concurrency_counter
-from rushroad.policy.counter_window import CHANCE
+from rushroad.policy.counter_window import ROUNDING_MARGIN
 from rushroad.policy.durations import SECOND
 from rushroad.policy.events import CounterReply, Result
 from rushroad.policy.latency import LatencyTracker
@@ -83,7 +83,7 @@
         self, call: CounterCall, reply: CounterReply, pending: PendingRequest | None, now: int
     ) -> Admission | None:
         """Take in the reply to a call; returns the decision on the request that still waits for it."""
-        if call.amount < 0 and reply.result is Result.OK and reply.total < -CHANCE:
+        if call.amount < 0 and reply.result is Result.OK and reply.total < -ROUNDING_MARGIN:
             # The counter had been forgotten before the slot was returned: what it now lacks is put back.
             self._call(call.tenant, min(-call.amount, -reply.total), None)
         if call.amount <= 0 or call.waiting_request is None:
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -18,12 +18,14 @@
 from rushroad.policy.active_endpoints import ActiveEndpoint, ActiveEndpoints
 from rushroad.policy.admission import Admission
 from rushroad.policy.client_retries import ClientRetries
-from rushroad.policy.clock_skew import ClockLead
+from rushroad.policy.clock_skew import ClockSkew
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter
 from rushroad.policy.concurrency_quota import ConcurrencyQuota
 from rushroad.policy.counter_breaker import CounterBreaker
 from rushroad.policy.counter_calls import CountedResource, CounterCalls, tenant_of
 from rushroad.policy.durations import SECOND
+from rushroad.policy.endpoint_updates import EndpointUpdates
+from rushroad.policy.endpoints import EndpointTable
 from rushroad.policy.events import (
     AttemptOutcome,
     ClientDisconnected,
@@ -34,23 +36,20 @@
     Request,
     Result,
     TimerFired,
-    UpdateKind,
 )
 from rushroad.policy.latency import LatencyTracker
 from rushroad.policy.load_balancer import LoadBalancer
 from rushroad.policy.load_shedding import LoadShedding
 from rushroad.policy.outbox import Outbox
+from rushroad.policy.outcome_recorder import OutcomeRecorder
 from rushroad.policy.outlier_detection import OutlierDetector
 from rushroad.policy.pending_request import InFlightAttempt, PendingRequest, PossibleExecution
 from rushroad.policy.quota import Quota
 from rushroad.policy.retry_policy import RetryPolicy
-from rushroad.policy.settings import DeduplicationScope, Idempotency, Settings
+from rushroad.policy.settings import Settings
 from rushroad.policy.slow_start import SlowStart
-from rushroad.policy.subsetting import SHARERS_FEW, Roster
 from rushroad.policy.tenants import Tenants
 from rushroad.policy.timers import (
-    SUBSET_REVIEW,
-    WATCH_RETRY,
     AttemptCheckDue,
     CounterWaitOver,
     SubsetReviewDue,
@@ -59,8 +58,6 @@
 )
 
 LONG_AGO = 60 * SECOND  # microseconds before the start
-WATCH_RETRIES = 10  # retries of a failed call to the discovery service that fit into the poll interval
-SAMPLED_CALL_SHARE = 0.5  # of the requests that call the counter at first, in a large fleet
 
 
 class Gateway:
@@ -73,8 +70,16 @@
         self._outbox = Outbox()
         self.pending: dict[int, PendingRequest] = {}
         self.timers = Timers(self._outbox)
+        self.latency = LatencyTracker(settings)
         self._create_quota_parts(settings, now)
         self._create_endpoint_parts(settings, now)
+
+    def _create_quota_parts(self, settings: Settings, now: int) -> None:
+        self.tenants = Tenants(settings, now)
+        self.client_retries = ClientRetries(settings)
+        self.counter_breaker = CounterBreaker(settings.counter, now, now - LONG_AGO)
+        self.counter_calls = CounterCalls(self._outbox)
+        self.quota = Quota(settings, self.counter_breaker, self.counter_calls, self.timers, self._random)
         self.concurrency_quota = ConcurrencyQuota(
             settings.counter,
             self.counter_breaker,
@@ -84,27 +89,15 @@
             self._random,
         )
 
-    def _create_quota_parts(self, settings: Settings, now: int) -> None:
-        self.tenants = Tenants(settings, now)
-        self.client_retries = ClientRetries(settings)
-        self.counter_breaker = CounterBreaker(settings.counter, now, now - LONG_AGO)
-        self.counter_calls = CounterCalls(self._outbox)
-        self.quota = Quota(settings, self.counter_breaker, self.counter_calls, self.timers, self._random)
-
     def _create_endpoint_parts(self, settings: Settings, now: int) -> None:
-        has_cells = any(
-            c.idempotency is Idempotency.IDEMPOTENCY_KEY and c.deduplication_scope is DeduplicationScope.CELL
-            for c in settings.request_classes
-        )
-        self._roster = Roster(settings.gateway_index, settings.fleet_size, has_cells)
-        self.clock_skew = ClockLead()
-        self.latency = LatencyTracker(settings)
-        self.limiter = ConcurrencyLimiter(settings, self._roster)
-        self.load_shedding = LoadShedding(settings, self.limiter, self.latency, self._roster, now)
+        self._table = EndpointTable(settings.gateway_index, settings.fleet_size, settings.uses_cells)
+        self.clock_skew = ClockSkew()
+        self.limiter = ConcurrencyLimiter(settings, self._table)
+        self.load_shedding = LoadShedding(settings, self.limiter, self.latency, self._table, now)
         self.outliers = OutlierDetector(self.latency, self.limiter)
         self.slow_start = SlowStart(settings.safety, self.clock_skew)
         self.endpoints = ActiveEndpoints(
-            settings, self._roster, self.limiter, self.outliers, self.slow_start, self._random
+            settings, self._table, self.limiter, self.outliers, self.slow_start, self._random
         )
         self.retry_policy = RetryPolicy(settings)
         self.load_balancer = LoadBalancer(
@@ -116,6 +109,28 @@
             self.retry_policy,
             self._random,
         )
+        self.outcome_recorder = OutcomeRecorder(
+            self.endpoints,
+            self.limiter,
+            self.load_shedding,
+            self.load_balancer,
+            self.outliers,
+            self.latency,
+            self.slow_start,
+        )
+        self.endpoint_updates = EndpointUpdates(
+            settings,
+            self._table,
+            self.endpoints,
+            self.clock_skew,
+            self.limiter,
+            self.load_shedding,
+            self.counter_breaker,
+            self.quota,
+            self.timers,
+            self._outbox,
+            self._random,
+        )
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Take in one event at a time in microseconds; returns the actions that it calls for, in order."""
@@ -133,7 +148,7 @@
             case TimerFired():
                 self._on_timer(event)
             case EndpointUpdate():
-                self._on_endpoint_update(event)
+                self.endpoint_updates.apply(event, now)
             case ClientDisconnected():
                 self._on_client_disconnected(event)
         return actions
@@ -221,14 +236,14 @@
             return None
         suspects = self.outliers.suspects(self.endpoints.ready, now)
         if self.endpoints.borrow_if_short(len(suspects), now):
-            self._refresh_endpoints()
+            self.endpoint_updates.refresh(now)
         ejected = self.outliers.ejected_among(suspects, len(self.endpoints.ready))
         endpoint = self.load_balancer.choose(pending, avoid, ejected, now)
         if endpoint is None and pending.possible_executions:
             entry = self.load_balancer.find_in_cell(pending, now)
             if entry is not None:
                 endpoint = self.endpoints.borrow(entry, now)
-                self._refresh_endpoints()
+                self.endpoint_updates.refresh(now)
         return endpoint
 
     def _start_attempt(self, pending: PendingRequest, endpoint: ActiveEndpoint) -> None:
@@ -259,7 +274,7 @@
         if outcome.final or pending is None:
             self.concurrency_quota.release(outcome.request_id)
         if endpoint is not None:
-            self._learn(endpoint, outcome, pending)
+            self.outcome_recorder.record(endpoint, outcome, pending, self._now)
         if pending is None:
             return
         attempt = pending.in_flight.pop(outcome.attempt, None)
@@ -284,47 +299,6 @@
             self.quota.settle(pending, outcome.actual_units)
         del self.pending[outcome.request_id]
 
-    def _learn(
-        self, endpoint: ActiveEndpoint, outcome: AttemptOutcome, pending: PendingRequest | None
-    ) -> None:
-        """Let the parts learn from an outcome, each in its turn."""
-        now, result = self._now, outcome.result
-        endpoint.concurrency.in_flight.pop((outcome.request_id, outcome.attempt), None)
-        request_class = pending.request_class if pending is not None else None
-        is_short = self.load_shedding.is_capacity_short
-        self.limiter.record(endpoint.concurrency, outcome, request_class, is_short, now)
-        if outcome.load_report:
-            self.load_balancer.record_load_report(endpoint, outcome.load_report, now)
-        self.outliers.record_response(endpoint, result, now)
-        if pending is not None:
-            self._learn_latency(endpoint, outcome, pending.request.class_index)
-        if result is Result.OK:
-            self.outliers.record_success(endpoint)
-            if pending is not None:
-                self.latency.record_response(outcome.elapsed, pending.request.class_index)
-        elif result in (Result.ERROR, Result.RESET, Result.CONNECT_FAILED):
-            self.outliers.record_error(endpoint, result, now)
-        elif result is Result.TIMEOUT:
-            self._eject_if_silent(endpoint, now - outcome.elapsed)
-        elif result is Result.OVERLOADED:
-            self.load_balancer.record_overload(endpoint, now)
-
-    def _learn_latency(self, endpoint: ActiveEndpoint, outcome: AttemptOutcome, class_index: int) -> None:
-        relative = self.latency.relative(outcome, class_index)
-        if relative is None:
-            return
-        endpoint.latency.record(relative)
-        endpoint.endpoint_class.latency.record(relative)
-        if outcome.result is Result.OK and not self.slow_start.is_warming_up(endpoint.entry, self._now):
-            endpoint.endpoint_class.throughput.record_response(self._now)
-
-    def _eject_if_silent(self, endpoint: ActiveEndpoint, since: int) -> bool:
-        rate = self.endpoints.warm_response_rate(endpoint, self._now)
-        if not self.outliers.is_silent(endpoint, rate, since, self._now):
-            return False
-        self.outliers.eject(endpoint, self._now)
-        return True
-
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         """Forget a request: attempts in flight run on; units that were never forwarded are given back."""
         pending = self.pending.pop(event.request_id, None)
@@ -344,7 +318,7 @@
             case WatchRetryDue():
                 self._outbox.add(WatchEndpoints(enabled=True))
             case SubsetReviewDue():
-                self._review_subset()
+                self.endpoint_updates.review_subset(self._now)
             case CounterWaitOver(request_id):
                 self._stop_waiting_for_counter(request_id)
             case AttemptCheckDue(request_id, attempt):
@@ -371,7 +345,7 @@
             return
         if not self.retry_policy.has_budget or self.limiter.pooled is not None:
             return
-        if not self._eject_if_silent(attempt.endpoint, attempt.started_at):
+        if not self.outcome_recorder.eject_if_silent(attempt.endpoint, attempt.started_at, self._now):
             return
         if not self.retry_policy.may_hedge(pending):
             self._outbox.add(CancelAttempt(request_id, number))
@@ -394,59 +368,8 @@
             self.quota.return_units(pending, self._now)
         if not pending.in_flight:
             self.concurrency_quota.release(pending.request.id)
-        if self._is_retry_harmless(pending):
+        if pending.is_retry_harmless:
             self._outbox.add(Reject(pending.request.id, self.quota.retry_after(pending)))
         else:
             self._outbox.add(Fail(pending.request.id))
         del self.pending[pending.request.id]
-
-    @staticmethod
-    def _is_retry_harmless(pending: PendingRequest) -> bool:
-        if pending.in_flight:
-            return False
-        is_idempotent = pending.request_class.idempotency is Idempotency.IDEMPOTENT
-        return is_idempotent or not pending.possible_executions
-
-    # --- endpoint list ------------------------------------------------------------------------------------
-
-    def _on_endpoint_update(self, update: EndpointUpdate) -> None:
-        if update.kind is UpdateKind.FAILED:
-            # Well within the poll interval, but not at once: the calls of all gateways may have failed.
-            delay = self._settings.safety.poll_interval // WATCH_RETRIES
-            self.timers.start_single(self._random.randint(delay, 2 * delay), WATCH_RETRY)
-            return
-        is_cached = update.kind is UpdateKind.CACHED_SNAPSHOT
-        if is_cached and update.last and self._settings.polls_endpoints:
-            self._outbox.add(WatchEndpoints(enabled=True))
-        self.clock_skew.hear(update, self._now)
-        changed = self._roster.take(update)
-        is_complete = update.last or update.kind is UpdateKind.DELTA
-        subset_changed = is_complete and self._roster.reshare()
-        if subset_changed:
-            self._start_subset_review()
-        for entry in changed:
-            if not subset_changed or entry.name in self.endpoints:  # the review finds the others
-                self.endpoints.update(entry, self._now)
-        self._refresh_endpoints()
-        if update.last:
-            starts = [endpoint.entry.started_at for endpoint in self.endpoints.ready]
-            self.clock_skew.check(starts, self._now, self._settings.safety.warm_up_time)
-
-    def _start_subset_review(self) -> None:
-        if self.limiter.pooled is None and not self.endpoints and self._roster.share > SHARERS_FEW:
-            # In such a fleet a gateway sees little of each endpoint and of each tenant.
-            self.limiter.pool(self._now)
-            self.counter_breaker.call_share = SAMPLED_CALL_SHARE
-            self.quota.samples_requests = True
-        if self.endpoints.start_review():
-            self._review_subset()
-
-    def _review_subset(self) -> None:
-        """Review the next part of the endpoint list after a change of the subset."""
-        if self.endpoints.review_next_part(self._now):
-            self.timers.start_single(self._settings.tick, SUBSET_REVIEW)
-        self._refresh_endpoints()
-
-    def _refresh_endpoints(self) -> None:
-        self.load_shedding.accrue(self._now)
-        self.endpoints.refresh()
--- a/rushroad/policy/load_shedding.py
+++ b/rushroad/policy/load_shedding.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from rushroad.policy.active_endpoints import ActiveEndpoint
-    from rushroad.policy.subsetting import Roster
+    from rushroad.policy.endpoints import EndpointTable
 
 SMOOTHING = 0.2  # weight of a new request in the mean value of requests
 RESERVE = 0.5  # of the full credit; what requests of the lowest priority leave for others
@@ -32,12 +32,12 @@
         settings: Settings,
         limiter: ConcurrencyLimiter,
         latency: LatencyTracker,
-        roster: Roster,
+        table: EndpointTable,
         now: int,
     ) -> None:
         self._limiter = limiter
         self._latency = latency
-        self._roster = roster
+        self._table = table
         self._longest_objective = max(c.latency_objective for c in settings.request_classes)
         self._in_flight = 0
         self._credit, self._credited_at = float(self._longest_objective), now
@@ -75,7 +75,7 @@
     def accrue(self, now: int) -> None:
         """Bring the credit up to now; due before each change of what it depends on."""
         if self._limiter.pooled is not None:
-            gain = self._limiter.pooled.attempts * self._roster.expected() - self._in_flight
+            gain = self._limiter.pooled.attempts * self._table.expected_subset_size() - self._in_flight
             self._credit = min(self._longest_objective, self._credit + gain * (now - self._credited_at))
         self._credited_at = now
 
--- a/rushroad/policy/pending_request.py
+++ b/rushroad/policy/pending_request.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from rushroad.policy.events import Endpoint, Request
-from rushroad.policy.settings import Plan, RequestClass
+from rushroad.policy.settings import Idempotency, Plan, RequestClass
 from rushroad.policy.tenants import Tenant
 
 if TYPE_CHECKING:
@@ -72,3 +72,10 @@
         self.counted_units = 0.0  # added to the counter for it, or to be added
         self.rejection_probability = 0.0  # by the tenant's recent totals
         self.is_over_quota = False  # most likely, by that probability
+
+    @property
+    def is_retry_harmless(self) -> bool:
+        """True where a retry by the client can't have the effect of the request twice."""
+        if self.in_flight:
+            return False
+        return not self.possible_executions or self.request_class.idempotency is Idempotency.IDEMPOTENT
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -151,7 +151,7 @@
         tenant.usage.enter_window(now)
         amount = units + tenant.usage.take_unreported()
         call = CounterCall(CountedResource.UNITS, tenant, amount, waiting_request)
-        self._calls.add(units_counter(tenant.id), call, tenant.usage.window.life(now))
+        self._calls.add(units_counter(tenant.id), call, tenant.usage.window.lifetime(now))
 
     def on_reply(
         self, call: CounterCall, reply: CounterReply, pending: PendingRequest | None, now: int
--- a/rushroad/policy/slow_start.py
+++ b/rushroad/policy/slow_start.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from rushroad.policy.clock_skew import ClockLead
+from rushroad.policy.clock_skew import ClockSkew
 from rushroad.policy.durations import SECOND
 from rushroad.policy.events import Endpoint
 from rushroad.policy.settings import SafetyLimits
@@ -37,14 +37,15 @@
 class SlowStart:
     """Tells which endpoints are warming up, and whether one may get a request."""
 
-    def __init__(self, safety: SafetyLimits, clock_skew: ClockLead) -> None:
+    def __init__(self, safety: SafetyLimits, clock_skew: ClockSkew) -> None:
         self._safety = safety
         self._clock_skew = clock_skew
 
     def is_warming_up(self, entry: Endpoint, now: int) -> bool:
         """Whether the endpoint has started less than the warm-up time ago."""
         return (
-            entry.started_at > 0 and self._clock_skew.age(entry.started_at, now) < self._safety.warm_up_time
+            entry.started_at > 0
+            and self._clock_skew.uptime(entry.started_at, now) < self._safety.warm_up_time
         )
 
     def has_budget(self, endpoint: ActiveEndpoint, warm_response_rate: float, now: int) -> bool:
@@ -54,7 +55,7 @@
         responses a second that a warm endpoint gives to this gateway.
         """
         safety, budget = self._safety, endpoint.slow_start
-        uptime = max(0, self._clock_skew.age(endpoint.entry.started_at, now)) / max(1, safety.warm_up_time)
+        uptime = max(0, self._clock_skew.uptime(endpoint.entry.started_at, now)) / max(1, safety.warm_up_time)
         capacity = safety.initial_capacity + (1 - safety.initial_capacity) * uptime
         rate = BUDGET_FRACTION * safety.overload_multiple * capacity * warm_response_rate
         grown = budget.attempts + rate * (now - budget.updated_at) / SECOND
--- a/rushroad/policy/tenant_usage.py
+++ b/rushroad/policy/tenant_usage.py
@@ -4,7 +4,7 @@
 
 import math
 
-from rushroad.policy.counter_window import SharedCount
+from rushroad.policy.counter_window import CounterWindow
 from rushroad.policy.durations import SECOND
 from rushroad.policy.settings import Plan
 
@@ -49,7 +49,7 @@
         "window",
     )
 
-    def __init__(self, plan: Plan, window: SharedCount, now: int) -> None:
+    def __init__(self, plan: Plan, window: CounterWindow, now: int) -> None:
         self._burst, self._rate = plan.burst, plan.rate
         self.used, self.updated_at = 0.0, now  # taken from the burst and not refilled yet
         self._unused_refill = 0.0  # refilled since the last total while nothing was used
@@ -81,7 +81,7 @@
 
     def enter_window(self, now: int) -> None:
         """Start a new window if the counter has surely forgotten the name by now."""
-        if self.window.enter(now):
+        if self.window.restart_if_expired(now):
             self._reset_window()
 
     def _reset_window(self) -> None:
@@ -101,7 +101,7 @@
         else:
             self.calls_without_reply += 1
             self._unconfirmed += amount
-            self.window.own += min(0.0, amount)
+            self.window.own_total += min(0.0, amount)
 
     def apply_total(self, amount: float, total: float, now: int) -> None:
         """Take in the reply to a call of `amount` units."""
@@ -117,14 +117,15 @@
             return  # the call was made in the window before
         self.calls_without_reply -= 1
         self._unconfirmed -= amount
-        self.window.own -= min(0.0, amount)  # it was added when the call was given up
+        self.window.own_total -= min(0.0, amount)  # it was added when the call was given up
         self.apply_total(amount, total, now)
 
     def _others_in(self, amount: float, total: float, now: int) -> float:
         """Return the others' use that a total shows, beyond what had been estimated and refilled."""
-        others, renewed = self.window.hear(amount, total, now)
-        if renewed:
+        change = self.window.apply_total(amount, total, now)
+        if change.window_restarted:
             self._reset_window()
+        others = change.added_by_others
         # The total can hold this much of the unconfirmed units; the rest was not added.
         shown = min(max(others, 0.0), self._unconfirmed) if self._unconfirmed > 0 else self._unconfirmed
         self.unreported += self._unconfirmed - shown
@@ -140,7 +141,7 @@
         A tenant that comes through many gateways shows the use of a whole window at once at each of them,
         which is not all outstanding now.
         """
-        unused = min(self._unused_refill, self._rate * (now - self.window.began) / SECOND)
+        unused = min(self._unused_refill, self._rate * (now - self.window.started_at) / SECOND)
         self._unused_refill = 0.0
         return min(max(0.0, others), REFILL_FRACTION * unused)
 
--- a/rushroad/policy/tenants.py
+++ b/rushroad/policy/tenants.py
@@ -6,7 +6,7 @@
 from itertools import islice
 
 from rushroad.policy.concurrency_usage import ConcurrencyUsage
-from rushroad.policy.counter_window import SharedCount
+from rushroad.policy.counter_window import CounterWindow
 from rushroad.policy.durations import SECOND
 from rushroad.policy.events import Request
 from rushroad.policy.rate_ceiling import RateCeiling
@@ -58,7 +58,7 @@
         return tenant
 
     def _create(self, tenant_id: int, plan: Plan, now: int) -> Tenant:
-        window = SharedCount(window_length(plan), self._call_timeout, tenant_id * WINDOW_OFFSET, now)
+        window = CounterWindow(window_length(plan), self._call_timeout, tenant_id * WINDOW_OFFSET, now)
         return Tenant(tenant_id, TenantUsage(plan, window, now), RateCeiling(self._started_at), now)
 
     def _evict(self, current: Tenant, now: int) -> None:
