--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -24,7 +24,7 @@
 from rushroad.proxy.engine import Engine
 from rushroad.proxy.json_splitter import Cutter
 from rushroad.proxy.nonblocking_log import log
-from rushroad.proxy.transient_errors import AGAIN, PASSING, START_PATIENCE, persist
+from rushroad.proxy.transient_errors import AGAIN, START_RETRY_TIME, TRANSIENT_ERRORS, retry_transient
 from rushroad.proxy.upstream import Upstream
 
 FIRST_NEWS = 0.3  # seconds that a start waits for discovery before it goes by the list it had last
@@ -33,7 +33,7 @@
 ACCEPT = 0.5  # seconds that new connections are taken after SIGTERM
 KILL_LEAST = 3.0  # seconds: the longest deadline, counted so where it is longer; SIGKILL comes 0.7 s later
 MOVE_PATIENCE = 3.0  # seconds that a new configuration is tried to be read; its news count as told after 4
-MOVE_PASSING = PASSING | {errno.ENOENT}  # one that is being replaced may be missing for a moment
+MOVE_PASSING = TRANSIENT_ERRORS | {errno.ENOENT}  # one that is being replaced may be missing for a moment
 KILL_SPARE = 0.5  # seconds after it when all is answered: SIGKILL may come soon
 OWN_SOCKETS = 32  # descriptors for the counter, discovery, the loop and the standard streams
 SERVER_PART = 0.25  # of the other descriptors; the rest is for clients
@@ -64,7 +64,7 @@
 async def move(discovery: Discovery, counter: CounterClient | None) -> None:
     """Go by the addresses in the new file. One that can't be read changes nothing."""
     try:
-        config = await persist(read_config, MOVE_PATIENCE, MOVE_PASSING)
+        config = await retry_transient(read_config, MOVE_PATIENCE, MOVE_PASSING)
         discovery_at = read_address(config["discovery"])
         counter_at = None if counter is None else read_address(config["counter"])
     except (OSError, RecursionError, *UNREADABLE) as wrong:
@@ -124,8 +124,8 @@
     stop, hangup = asyncio.Event(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    loop.set_exception_handler(log.exception)
-    config = await persist(read_config)
+    loop.set_exception_handler(log.handle_loop_exception)
+    config = await retry_transient(read_config)
     settings, names = read_settings(config["settings"]), read_names(config["settings"])
     sockets = int(config["limits"]["sockets"]) - OWN_SOCKETS
     memory = int(config["limits"]["memory_mb"] * 1e6)
@@ -148,7 +148,7 @@
         engine.endpoints_updated(members)
         freezer.note(len(lines))
 
-    version = await persist(lambda: read_known(names, memory, news))
+    version = await retry_transient(lambda: read_known(names, memory, news))
     discovery = Discovery(discovery_at, version, names, news, loop, random.Random(seed), memory)
     loop.add_signal_handler(signal.SIGHUP, hangup.set)
     moves = loop.create_task(follow(hangup, discovery, counter))
@@ -156,7 +156,7 @@
     with suppress(TimeoutError):
         async with asyncio.timeout(FIRST_NEWS):
             await discovery.told.wait()
-    await persist(lambda: clients.listen(*listen))
+    await retry_transient(lambda: clients.listen(*listen))
     gc.freeze()  # what the start has made lives on: collections need not look at it again
 
     await stop.wait()
@@ -173,12 +173,12 @@
 
 def new_loop() -> asyncio.AbstractEventLoop:
     """The event loop; tried again while the system has no descriptors or memory for it."""
-    last = time.monotonic() + START_PATIENCE
+    last = time.monotonic() + START_RETRY_TIME
     while True:
         try:
             return uvloop.new_event_loop()
         except OSError as error:
-            if error.errno not in PASSING or time.monotonic() > last:
+            if error.errno not in TRANSIENT_ERRORS or time.monotonic() > last:
                 raise
         time.sleep(AGAIN)
 
--- a/rushroad/proxy/nonblocking_log.py
+++ b/rushroad/proxy/nonblocking_log.py
@@ -1,4 +1,4 @@
-"""Lines for the operators, on standard error; never at the cost of a request."""
+"""Log lines on standard error, written without ever blocking the event loop."""
 
 from __future__ import annotations
 
@@ -8,81 +8,89 @@
 import time
 from typing import Any
 
-STANDARD_ERROR = 2
-MOST = 20  # lines in a second: a peer that sends only what can't be read must not fill the log
-MOST_BYTES = 4_000  # of a line with its end; a pipe with room takes so many at once (PIPE_BUF is 4,096)
-TELL_AGAIN = 1.0  # seconds between tries to say how many lines were dropped
+STANDARD_ERROR = 2  # file descriptor
+MAX_LINES_PER_SECOND = 20  # a peer that sends only malformed data must not fill the log
+MAX_LINE_BYTES = 4_000  # with its end; a pipe that polls as writable takes PIPE_BUF bytes (4,096) at once
+REPORT_INTERVAL = 1.0  # seconds between attempts to report how many lines were dropped
+PREFIX = "rushroad: "
 
 
-class _Log:
-    """Writes a line only where it can be written at once; the others are dropped and counted.
+class NonBlockingLog:
+    """Writes a line only where that can be done at once; other lines are dropped and counted.
 
-    The descriptor is asked whether it has room, and not made non-blocking: others may share it.
+    Lines over MAX_LINES_PER_SECOND are left out and counted, too. Both counts are written as separate lines.
+    The descriptor is polled for room and not made non-blocking, as other processes may share it.
     """
 
     def __init__(self) -> None:
-        self._second, self._said = 0, 0
-        self._dropped = 0  # as nobody read them
-        self._telling = False
-        self._room = select.poll()
-        self._room.register(STANDARD_ERROR, select.POLLOUT)
-
-    def __call__(self, text: str) -> None:
-        """Say it, unless too much has been said or nobody reads."""
-        now = int(time.monotonic())
-        if now != self._second:
-            left_out = self._said - MOST
-            self._second, self._said = now, 0
+        self._current_second, self._lines_in_second = 0, 0
+        self._dropped = 0  # lines that could not be written and are not reported yet
+        self._report_scheduled = False
+        self._poll = select.poll()
+        self._poll.register(STANDARD_ERROR, select.POLLOUT)
+
+    def __call__(self, message: str) -> None:
+        """Write a line, unless the limit per second is reached or standard error has no room."""
+        second = int(time.monotonic())
+        if second != self._current_second:
+            left_out = self._lines_in_second - MAX_LINES_PER_SECOND
+            self._current_second, self._lines_in_second = second, 0
             if left_out > 0:
-                self._line(f"{left_out} more lines left out")
-        self._said += 1
-        if self._said <= MOST:
-            self._line(text)
-
-    def _line(self, text: str) -> None:
-        if not (self._tell_dropped() and self._write(text)):
+                self._write_or_drop(
+                    f"{left_out} more log lines left out: over the limit of {MAX_LINES_PER_SECOND} a second"
+                )
+        self._lines_in_second += 1
+        if self._lines_in_second <= MAX_LINES_PER_SECOND:
+            self._write_or_drop(message)
+
+    def _write_or_drop(self, message: str) -> None:
+        if not (self._report_dropped() and self._write(message)):
             self._dropped += 1
-            self._tell_later()
+            self._schedule_report()
 
-    def _tell_dropped(self) -> bool:
-        """Say first how many lines were dropped before this one; false where not even that can be written."""
-        if self._dropped and self._write(f"{self._dropped} lines dropped, as they could not be written"):
+    def _report_dropped(self) -> bool:
+        """Write how many lines were dropped; False where not even that can be written."""
+        if self._dropped and self._write(
+            f"{self._dropped} log lines dropped: standard error could not be written"
+        ):
             self._dropped = 0
         return not self._dropped
 
-    def _write(self, text: str) -> bool:
-        data = f"rushroad: {text}".encode(errors="replace")
-        if len(data) >= MOST_BYTES:
-            data = b"rushroad: ..." + data[16 - MOST_BYTES :]  # the end of a traceback tells most
+    def _write(self, message: str) -> bool:
+        line = f"{PREFIX}{message}".encode(errors="replace")
+        if len(line) >= MAX_LINE_BYTES:
+            start = f"{PREFIX}...".encode()
+            # The end of a traceback names the error.
+            line = start + line[len(start) + 1 - MAX_LINE_BYTES :]
         try:
-            ready = self._room.poll(0)
+            ready = self._poll.poll(0)
             if not ready or not ready[0][1] & select.POLLOUT:
                 return False
-            os.write(STANDARD_ERROR, data + b"\n")
-        except OSError:  # a full device, a reader that has gone
+            os.write(STANDARD_ERROR, line + b"\n")
+        except OSError:  # a full device, or a reader that has closed the pipe
             return False
         return True
 
-    def _tell_later(self) -> None:
-        """Say how many were dropped also where no further line follows."""
-        if self._telling:
+    def _schedule_report(self) -> None:
+        """Report the dropped lines later, also where no further line follows."""
+        if self._report_scheduled:
             return
         try:
             loop = asyncio.get_running_loop()
-        except RuntimeError:  # before the loop runs, or behind it
+        except RuntimeError:  # before the loop runs, or after its end
             return
-        self._telling = True
-        loop.call_later(TELL_AGAIN, self._tell_again)
+        self._report_scheduled = True
+        loop.call_later(REPORT_INTERVAL, self._report_later)
 
-    def _tell_again(self) -> None:
-        self._telling = False
-        if not self._tell_dropped():
-            self._tell_later()
+    def _report_later(self) -> None:
+        self._report_scheduled = False
+        if not self._report_dropped():
+            self._schedule_report()
 
-    def exception(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """What the event loop has to tell; its own handler writes with calls that block."""
-        error = context.get("exception")
-        self(f"{context.get('message')}: {error!r}" if error is not None else str(context.get("message")))
+    def handle_loop_exception(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Log an error that the event loop reports; the loop's own handler would block on a full pipe."""
+        message, error = context.get("message"), context.get("exception")
+        self(f"event loop error, continuing: {message}" + (f": {error!r}" if error is not None else ""))
 
 
-log = _Log()
+log = NonBlockingLog()
--- a/rushroad/proxy/transient_errors.py
+++ b/rushroad/proxy/transient_errors.py
@@ -1,4 +1,4 @@
-"""Errors of system calls that pass by themselves, and what to do while they last."""
+"""Errors of system calls that go away by themselves, and calls that are tried again while they last."""
 
 from __future__ import annotations
 
@@ -10,46 +10,46 @@
 from typing import TypeVar
 
 RESOURCES = frozenset({errno.EAGAIN, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-ADDRESSES = frozenset({errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENETDOWN})
-FILES = frozenset({errno.EBUSY, errno.EIO, errno.ESTALE, errno.ETIMEDOUT})
-PASSING = RESOURCES | ADDRESSES | FILES
-START_PATIENCE = 20.0  # seconds that a start tries what fails so; it has to be ready within 30
-AGAIN = 0.05  # seconds between tries
-POLLS = 3  # tries of a look at descriptors
+ADDRESS_ERRORS = frozenset({errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENETDOWN})
+FILE_ERRORS = frozenset({errno.EBUSY, errno.EIO, errno.ESTALE, errno.ETIMEDOUT})
+TRANSIENT_ERRORS = RESOURCES | ADDRESS_ERRORS | FILE_ERRORS
+START_RETRY_TIME = 20.0  # seconds for which a start retries; the gateway has to be ready within 30
+AGAIN = 0.05  # seconds between attempts
+POLL_ATTEMPTS = 3
 T = TypeVar("T")
 
 
-async def persist(
+async def retry_transient(
     action: Callable[[], Awaitable[T]],
-    patience: float = START_PATIENCE,
-    passing: frozenset[int] = PASSING,
+    retry_time: float = START_RETRY_TIME,
+    retried_errors: frozenset[int] = TRANSIENT_ERRORS,
 ) -> T:
-    """The action's result; where it fails with an error that passes, tried again for `patience` seconds.
+    """Return the action's result, retrying for `retry_time` seconds where it fails with one of these errors.
 
-    Raises the action's last OSError after that, and any other error at once.
+    Raises the action's last OSError after that time, and any other error at once.
     """
-    last = time.monotonic() + patience
+    retry_until = time.monotonic() + retry_time
     while True:
         try:
             return await action()
         except OSError as error:
-            if error.errno not in passing or time.monotonic() > last:
+            if error.errno not in retried_errors or time.monotonic() > retry_until:
                 raise
         await asyncio.sleep(AGAIN)
 
 
 def readable(descriptor: int) -> bool:
-    """Whether anything waits to be read there; true where the system does not tell."""
-    wanted = select.poll()
-    wanted.register(descriptor, select.POLLIN)
-    return look(wanted) != []
+    """Whether data or an end of stream waits on a descriptor; True where the system can't tell."""
+    poll = select.poll()
+    poll.register(descriptor, select.POLLIN)
+    return look(poll) != []
 
 
-def look(descriptors: select.poll) -> list[tuple[int, int]] | None:
-    """What is ready now among these; None where the system does not tell."""
-    for _ in range(POLLS):
+def look(poll: select.poll) -> list[tuple[int, int]] | None:
+    """Return the descriptors that are ready now and their events; None where the system can't tell."""
+    for _ in range(POLL_ATTEMPTS):
         try:
-            return descriptors.poll(0)
-        except OSError:  # no memory for a moment
+            return poll.poll(0)
+        except OSError:  # out of memory for a moment
             continue
     return None
--- a/tests/integration/test_nonblocking_log.py
+++ b/tests/integration/test_nonblocking_log.py
@@ -1,4 +1,4 @@
-"""The log: lines may be lost, requests not."""
+"""The log of a gateway process: where nobody reads it, lines are dropped and requests go on."""
 
 import asyncio
 import fcntl
@@ -11,7 +11,7 @@
 
 PIPE_BYTES = 4_096
 LINES = 120  # more than such a pipe holds
-BAD_LINE = b"the new configuration can't be read"
+EXPECTED_LINE = b"the new configuration can't be read"
 
 
 async def read_all(descriptor: int, until: bytes) -> bytes:
@@ -27,7 +27,7 @@
     return got
 
 
-def test_a_reader_of_the_log_that_stops_does_not_stop_the_gateway(tmp_path: Path) -> None:
+def test_log_pipe_without_a_reader_drops_lines_and_does_not_block_the_gateway(tmp_path: Path) -> None:
     async def scenario() -> None:
         reader, writer = os.pipe()
         fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
@@ -45,7 +45,7 @@
                 if request % 20 == 0:
                     await asyncio.sleep(1.0)  # so many lines may come in each second
             log = await read_all(reader, b"dropped")
-            assert BAD_LINE in log
+            assert EXPECTED_LINE in log
             assert await world.stop() == 0
         os.close(reader)
 
--- a/tests/proxy/test_backoff.py
+++ b/tests/proxy/test_backoff.py
@@ -1,25 +1,25 @@
-"""Pauses that grow, and differ from one gateway to the next."""
+"""Backoff: pauses that grow, and differ from one gateway to the next."""
 
 import random
 
 from rushroad.proxy.backoff import Backoff
 
 
-def test_pauses_double_up_to_the_most_and_start_anew_after_success() -> None:
+def test_pauses_double_up_to_the_maximum_and_start_again_after_a_success() -> None:
     backoff = Backoff(0.2, 3.0, random.Random(1))
-    for span in (0.2, 0.4, 0.8, 1.6, 3.0, 3.0):
-        assert span / 2 <= backoff.pause() <= span
+    for expected in (0.2, 0.4, 0.8, 1.6, 3.0, 3.0):
+        assert expected / 2 <= backoff.pause() <= expected
     backoff.reset()
     assert backoff.pause() <= 0.2
 
 
-def test_forty_gateways_that_fail_together_ask_ever_less_often_and_not_in_step() -> None:
+def test_forty_gateways_that_fail_together_retry_ever_less_often_and_not_in_step() -> None:
     calls: list[float] = []
     for seed in range(40):
         backoff, now = Backoff(0.2, 4.0, random.Random(seed)), 0.0
         while (now := now + backoff.pause()) < 10:
             calls.append(now)
-    late = [call for call in calls if call >= 5]
-    assert 0 < len(late) < 40 * 5  # under one call a second from each
-    steps = [int(call * 10) for call in late]
-    assert max(steps.count(step) for step in set(steps)) < 40 / 4
+    late_calls = [call for call in calls if call >= 5]
+    assert 0 < len(late_calls) < 40 * 5  # under one call a second from each
+    tenths = [int(call * 10) for call in late_calls]
+    assert max(tenths.count(tenth) for tenth in set(tenths)) < 40 / 4
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -11,7 +11,7 @@
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from rushroad.proxy import discovery as module
 from rushroad.proxy.discovery import Address, Discovery
-from rushroad.proxy.nonblocking_log import _Log
+from rushroad.proxy.nonblocking_log import NonBlockingLog
 from tests.support.loopback import LOCAL, NAMES, Late, Peer, run
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -21,7 +21,7 @@
 @pytest.fixture(autouse=True)
 def fresh_log(monkeypatch: pytest.MonkeyPatch) -> None:
     """What other tests have logged in the same second must not crowd out the lines of this one."""
-    monkeypatch.setattr(module, "log", _Log())
+    monkeypatch.setattr(module, "log", NonBlockingLog())
 
 
 def line(generation: int, reset: bool = False, **fields: Any) -> bytes:
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -18,7 +18,7 @@
 from rushroad.proxy.discovery import PART, Discovery, Line
 from rushroad.proxy.engine import Attempt, Engine
 from rushroad.proxy.json_splitter import RUN, Cutter, Run
-from rushroad.proxy.nonblocking_log import _Log
+from rushroad.proxy.nonblocking_log import NonBlockingLog
 from rushroad.proxy.upstream import Connection, Upstream
 from tests.integration.test_process import config, connect, free_port, start
 from tests.proxy.test_discovery import HEAD, chunk, line
@@ -32,7 +32,7 @@
 @pytest.fixture(autouse=True)
 def fresh(monkeypatch: pytest.MonkeyPatch) -> None:
     """What other tests have logged in the same second must not crowd out this one; connections don't rest."""
-    monkeypatch.setattr(module, "log", _Log())
+    monkeypatch.setattr(module, "log", NonBlockingLog())
     monkeypatch.setattr("rushroad.proxy.upstream.SETTLE", 0.0)
 
 
