--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -18,11 +18,18 @@
 
 from rushroad.policy.events import EndpointUpdate, UpdateKind
 from rushroad.policy.settings_reader import Names, read_names, read_settings
+from rushroad.proxy.address import read_address
 from rushroad.proxy.client_connection import ClientListener, Terms
 from rushroad.proxy.counter_client import CounterClient
-from rushroad.proxy.discovery import UNREADABLE, Discovery, EndpointDecoder, Line, News, read_address
+from rushroad.proxy.discovery import Discovery, UpdateHandler
+from rushroad.proxy.endpoint_decoder import (
+    UNEXPECTED_JSON_ERRORS,
+    EndpointDecoder,
+    ListedEndpoint,
+    MalformedEndpointListError,
+)
 from rushroad.proxy.engine import Engine
-from rushroad.proxy.json_splitter import Cutter
+from rushroad.proxy.json_splitter import JsonSplitter
 from rushroad.proxy.nonblocking_log import log
 from rushroad.proxy.transient_errors import AGAIN, START_RETRY_TIME, TRANSIENT_ERRORS, retry_transient
 from rushroad.proxy.upstream import Upstream
@@ -48,15 +55,15 @@
 
 async def read_config() -> dict[str, Any]:
     """The configuration but its list of servers. Each piece has a turn of the loop to itself."""
-    cutter = Cutter(("known", "instances"))
+    splitter = JsonSplitter(("known", "instances"))
     objects = []
     for data in read_file():
-        cutter.feed(data)
-        while (run := cutter.next()) is not None:
-            if run.last:
-                objects.append(run.frame)
+        splitter.feed(data)
+        while (run := splitter.next_run()) is not None:
+            if run.ends_document:
+                objects.append(run.document)
         await asyncio.sleep(0)
-    if len(objects) != 1 or not cutter.empty():
+    if len(objects) != 1 or not splitter.is_between_documents():
         raise ValueError("the configuration is not one whole JSON object")
     return objects[0]
 
@@ -67,8 +74,8 @@
         config = await retry_transient(read_config, MOVE_PATIENCE, MOVE_PASSING)
         discovery_at = read_address(config["discovery"])
         counter_at = None if counter is None else read_address(config["counter"])
-    except (OSError, RecursionError, *UNREADABLE) as wrong:
-        log(f"the new configuration can't be read, the old one stays: {wrong!r}")
+    except (OSError, RecursionError, *UNEXPECTED_JSON_ERRORS) as wrong:
+        log(f"the new configuration can't be read; keeping the old one: {wrong!r}")
         return
     discovery.move(discovery_at)
     if counter is not None and counter_at is not None:
@@ -101,20 +108,23 @@
             self._loop.call_soon(gc.freeze)  # behind the module, which has them next
 
 
-async def read_known(names: Names, memory: int, news: News) -> int:
+async def read_known(names: Names, memory: int, news: UpdateHandler) -> int:
     """Tell the list as this gateway last had it; its version, or 0 where discovery has to tell all of it."""
     lists = EndpointDecoder(names, memory, UpdateKind.CACHED_SNAPSHOT, ("known",))
     version = 0
     try:
         for data in read_file():
             lists.feed(data)
-            while not lists.idle:
-                if (part := lists.next()) is not None:
-                    news(part.members, part.lines)
-                    version = part.members.version if part.last else version
+            while not lists.needs_data:
+                if (part := lists.next_part()) is not None:
+                    news(part.update, part.listed)
+                    version = part.update.version if part.ends_list else version
                 await asyncio.sleep(0)  # the module takes it in
-    except UNREADABLE as wrong:
-        log(f"the list of servers in the configuration can't be read: {wrong!r}")
+    except MalformedEndpointListError as error:
+        log(
+            "the cached endpoint list in the configuration can't be read; requesting one from discovery: "
+            f"{error!r}"
+        )
     return version
 
 
@@ -143,7 +153,7 @@
 
     freezer = Freezer(loop)
 
-    def news(members: EndpointUpdate, lines: list[Line]) -> None:
+    def news(members: EndpointUpdate, lines: list[ListedEndpoint]) -> None:
         servers.update_endpoints(lines, members.kind is not UpdateKind.DELTA, members.first, members.last)
         engine.endpoints_updated(members)
         freezer.note(len(lines))
@@ -155,7 +165,7 @@
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     with suppress(TimeoutError):
         async with asyncio.timeout(FIRST_NEWS):
-            await discovery.told.wait()
+            await discovery.updated.wait()
     await retry_transient(lambda: clients.listen(*listen))
     gc.freeze()  # what the start has made lives on: collections need not look at it again
 
--- a/rushroad/proxy/json_splitter.py
+++ b/rushroad/proxy/json_splitter.py
@@ -1,4 +1,4 @@
-"""Cuts JSON objects that each hold one long list into runs of its entries, while their text still comes."""
+"""Splits JSON documents that each hold one long array into runs of its entries, while their text arrives."""
 
 from __future__ import annotations
 
@@ -8,163 +8,184 @@
 
 import msgspec
 
-RUN = 32 * 1024  # bytes of entries cut at once: some hundred and fifty
-MOST_ENTRY = 64 * 1024  # bytes of one entry; no server has so much to be told of
-MOST_FRAME = 1024 * 1024  # bytes of an object without its list: a configuration is the largest
+RUN_BYTES = 32 * 1024  # of entries split off at once: about 150 endpoints
+MAX_ENTRY_BYTES = 64 * 1024  # of one entry
+MAX_DOCUMENT_BYTES = 1024 * 1024  # of a document without its array: a configuration is the largest
 BLANK_LINE = re.compile(rb"\n[ \t\r]*\n")
 SEPARATOR = re.compile(rb"[ \t\r\n]*(,?)[ \t\r\n]*")
-CLOSE = re.compile(rb"[ \t\r\n]*\]")
+ARRAY_END = re.compile(rb"[ \t\r\n]*\]")
 COMMA = re.compile(r"[ \t\r\n]*,[ \t\r\n]*")
-JSON = json.JSONDecoder()
-VALUES = msgspec.json.Decoder(list[msgspec.Raw])  # reads only where each value ends
+JSON_DECODER = json.JSONDecoder()
+RAW_VALUES_DECODER = msgspec.json.Decoder(list[msgspec.Raw])  # finds only where each value ends
 
 
-class Run(NamedTuple):
-    """What has been cut: entries with commas between them, or nothing but the end."""
+class MalformedJsonError(ValueError):
+    """The text is not a series of JSON objects, or one of them is too long."""
 
-    frame: dict[str, Any]  # the object, with an empty list, as far as it has come
-    text: bytes
-    last: bool  # the object is whole
 
+class JsonRun(NamedTuple):
+    """Whole entries of the array, or nothing but the end of the document."""
 
-def _whole(text: str) -> tuple[dict[str, Any], int] | None:
-    """The first object and where it ends; None where it is not whole. ValueError where it never can be."""
+    document: dict[str, Any]  # with an empty array, as far as it has arrived
+    entries: bytes  # with commas between them
+    ends_document: bool
+
+
+def _is_incomplete(error: json.JSONDecodeError, text: str) -> bool:
+    """Whether more text could make it valid."""
+    return error.pos >= len(text) or error.msg.startswith("Unterminated string")
+
+
+def _decode_document(text: str) -> tuple[dict[str, Any], int] | None:
+    """Return the first object and where it ends; None where it is incomplete.
+
+    Raises json.JSONDecodeError where no further text can make it valid.
+    """
     try:
-        frame, end = JSON.raw_decode(text)
-    except json.JSONDecodeError as wrong:
-        if wrong.pos < len(text) and not wrong.msg.startswith("Unterminated string"):
+        document, end = JSON_DECODER.raw_decode(text)
+    except json.JSONDecodeError as error:
+        if not _is_incomplete(error, text):
             raise
         return None
-    return frame, end
+    return document, end
+
 
+def _find_last_entry_end(text: str) -> int:
+    """Return where the last whole entry ends, or the array does; 0 where not even one is whole.
 
-def _walk(text: str) -> int:
-    """Where the last whole entry ends, or the list does. ValueError where not even one can be read."""
-    end = at = 0
-    while at < len(text):
+    Raises json.JSONDecodeError where the first entry is malformed.
+    """
+    end = start = 0
+    while start < len(text):
         try:
-            _, end = JSON.raw_decode(text, at)
-        except json.JSONDecodeError as wrong:
-            if not end and wrong.pos < len(text) and not wrong.msg.startswith("Unterminated string"):
+            _, end = JSON_DECODER.raw_decode(text, start)
+        except json.JSONDecodeError as error:
+            if not end and not _is_incomplete(error, text):
                 raise
             break
         comma = COMMA.match(text, end)
         if comma is None:
             break
-        at = comma.end()
+        start = comma.end()
     return end
 
 
-def _entries_end(text: bytes) -> int:
-    """How much of the text is whole entries. What is valid up to a brace as a list is cut rightly there."""
-    end = text.rfind(b"}") + 1
-    if not end:
+def _whole_entries_size(text: bytes) -> int:
+    """Return how many bytes of the text are whole entries."""
+    size = text.rfind(b"}") + 1
+    if not size:
         return 0
-    text = text[:end]
+    text = text[:size]
     try:
-        VALUES.decode(b"[" + text + b"]")
+        RAW_VALUES_DECODER.decode(b"[" + text + b"]")  # valid up to a brace: only whole entries
     except msgspec.DecodeError:
-        whole = text.decode()
-        return len(whole[: _walk(whole)].encode())
-    return end
+        decoded = text.decode()
+        return len(decoded[: _find_last_entry_end(decoded)].encode())
+    return size
 
 
-class Cutter:
-    """Objects, one a line or indented over many; in each a list at the same place.
+class JsonSplitter:
+    """Splits JSON objects, one a line or indented over many, with an array at the same path in each.
 
-    All that is held is text that has not been cut yet, and the object's other keys.
+    Only text that has not been split yet and the document's other keys are kept in memory.
     """
 
     def __init__(self, path: tuple[str, ...]) -> None:
-        """path: the keys that lead to the list."""
+        """path: the keys that lead to the array."""
         self._path = path
-        self._key = re.compile(rb'"%b"[ \t\r\n]*:[ \t\r\n]*\[' % path[-1].encode())
+        self._array_start = re.compile(rb'"%b"[ \t\r\n]*:[ \t\r\n]*\[' % path[-1].encode())
         self._text = b""
-        self._begin()
+        self._start_document()
 
-    def _begin(self) -> None:
-        self._head = b""  # the object's text up to the list
-        self._frame: dict[str, Any] = {}
-        self._first = True  # the list's first entry is still to come
-        self._closed = False  # its end has come
+    def _start_document(self) -> None:
+        self._head = b""  # the document's text up to the array, and an empty array
+        self._document: dict[str, Any] = {}
+        self._before_first_entry = True
+        self._array_ended = False
 
-    def empty(self) -> bool:
-        """True between objects."""
+    def is_between_documents(self) -> bool:
+        """True where no document has begun, or the last one is complete."""
         return not self._head and not self._text
 
-    def blank(self) -> bool:
-        """True where a blank line stands in what has not been cut of an object."""
+    def has_blank_line(self) -> bool:
+        """True where a blank line stands in the text that is not split yet."""
         return bool(BLANK_LINE.search(self._text))
 
     def feed(self, data: bytes) -> None:
-        """More text."""
+        """Add text that has arrived."""
         self._text += data
 
-    def next(self) -> Run | None:
-        """What can be cut now; None where more has to come. ValueError where the text is spoilt."""
+    def next_run(self) -> JsonRun | None:
+        """Return the next run; None where more text is needed.
+
+        Raises MalformedJsonError, or another ValueError, where the text is malformed.
+        """
         if not self._head:
             self._text = self._text.lstrip()
             if not self._text:
                 return None
             if not self._text.startswith(b"{"):
-                raise ValueError("no object")
-            if not self._find_list():
-                return self._find_end()
-        text = b"" if self._closed else self._cut()
-        if self._closed and (end := self._find_end()) is not None:
-            return end._replace(text=text)
-        return Run(self._frame, text, False) if text else None
-
-    def _find_list(self) -> bool:
-        window = self._text[:MOST_FRAME]
-        for found in self._key.finditer(window):
+                raise MalformedJsonError("expected a JSON object")
+            if not self._find_array():
+                return self._find_document_end()
+        entries = b"" if self._array_ended else self._split_entries()
+        if self._array_ended and (last_run := self._find_document_end()) is not None:
+            return last_run._replace(entries=entries)
+        return JsonRun(self._document, entries, ends_document=False) if entries else None
+
+    def _find_array(self) -> bool:
+        window = self._text[:MAX_DOCUMENT_BYTES]
+        for found in self._array_start.finditer(window):
             try:
-                frame = value = json.loads(window[: found.end()] + b"]" + b"}" * len(self._path))
+                document = value = json.loads(window[: found.end()] + b"]" + b"}" * len(self._path))
                 for key in self._path:
                     value = value[key]
             except (ValueError, LookupError, TypeError):
-                continue  # the words stand elsewhere
+                continue  # the key stands elsewhere, or within a string
             if value == []:
-                self._head, self._frame = window[: found.end()] + b"]", frame
+                self._head, self._document = window[: found.end()] + b"]", document
                 self._text = self._text[found.end() :]
                 return True
         return False
 
-    def _find_end(self) -> Run | None:
-        """The rest of an object whose list is cut, or one that has none."""
-        window = self._text[:MOST_FRAME]
+    def _find_document_end(self) -> JsonRun | None:
+        """The end of a document whose array is split, or that has none; None where it has not arrived."""
+        window = self._text[:MAX_DOCUMENT_BYTES]
         text = (self._head + window[: window.rfind(b"}") + 1]).decode()
-        found = _whole(text) if text.endswith("}") else None
+        found = _decode_document(text) if text.endswith("}") else None
         if found is None:
-            if len(window) == MOST_FRAME:
-                raise ValueError("too much for one object")
+            if len(window) == MAX_DOCUMENT_BYTES:
+                raise MalformedJsonError(
+                    f"a JSON object of over {MAX_DOCUMENT_BYTES} bytes without its array"
+                )
             return None
-        frame, end = found
+        document, end = found
         self._text = self._text[len(text[:end].encode()) - len(self._head) :]
-        self._begin()
-        return Run(frame, b"", True)
+        self._start_document()
+        return JsonRun(document, b"", ends_document=True)
 
-    def _cut(self) -> bytes:
-        """A run of whole entries, as far as they have come."""
+    def _split_entries(self) -> bytes:
+        """Split off whole entries, as far as they have arrived."""
         separator = SEPARATOR.match(self._text)
         assert separator is not None
-        at = separator.end()
-        if at == len(self._text):
+        start = separator.end()
+        if start == len(self._text):
             return b""
-        comma = bool(separator[1])
-        if self._text.startswith(b"]", at) and not comma:
-            self._closed, self._text = True, self._text[at + 1 :]
+        has_comma = bool(separator[1])
+        if self._text.startswith(b"]", start) and not has_comma:
+            self._array_ended, self._text = True, self._text[start + 1 :]
             return b""
-        if comma is self._first:
-            raise ValueError("no comma between entries, or one before them")
-        end = _entries_end(self._text[at : at + RUN]) or _entries_end(self._text[at : at + MOST_ENTRY])
-        if not end:
-            if len(self._text) - at >= MOST_ENTRY:
-                raise ValueError("an entry without an end")
+        if has_comma is self._before_first_entry:
+            raise MalformedJsonError("expected one comma between two entries and none before the first")
+        size = _whole_entries_size(self._text[start : start + RUN_BYTES])
+        size = size or _whole_entries_size(self._text[start : start + MAX_ENTRY_BYTES])
+        if not size:
+            if len(self._text) - start >= MAX_ENTRY_BYTES:
+                raise MalformedJsonError(f"an entry of over {MAX_ENTRY_BYTES} bytes")
             return b""
-        run = self._text[at : at + end]
-        self._text, self._first = self._text[at + end :], False
-        close = CLOSE.match(self._text)
-        if close is not None:
-            self._closed, self._text = True, self._text[close.end() :]
-        return run
+        entries = self._text[start : start + size]
+        self._text, self._before_first_entry = self._text[start + size :], False
+        array_end = ARRAY_END.match(self._text)
+        if array_end is not None:
+            self._array_ended, self._text = True, self._text[array_end.end() :]
+        return entries
--- a/tests/integration/test_standing_terms.py
+++ b/tests/integration/test_standing_terms.py
@@ -428,6 +428,9 @@
     monkeypatch.setattr("rushroad.proxy.discovery.asyncio.sleep", noted)
     run(scenario)
     longest = max(pauses)
-    assert longest <= discovery.MOST_RETRY
+    assert longest <= discovery.MAX_RECONNECT_PAUSE
     # A watch falls silent, another is opened, which finds an agent that just then could not be reached.
-    assert discovery.SILENT + discovery.ANSWER + 2 * longest + discovery.ANSWER < TOLD
+    assert (
+        discovery.SILENCE_TIMEOUT + discovery.RESPONSE_TIMEOUT + 2 * longest + discovery.RESPONSE_TIMEOUT
+        < TOLD
+    )
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -10,7 +10,9 @@
 
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from rushroad.proxy import discovery as module
-from rushroad.proxy.discovery import Address, Discovery
+from rushroad.proxy import endpoint_decoder
+from rushroad.proxy.address import Address
+from rushroad.proxy.discovery import Discovery
 from rushroad.proxy.nonblocking_log import NonBlockingLog
 from tests.support.loopback import LOCAL, NAMES, Late, Peer, run
 
@@ -21,7 +23,9 @@
 @pytest.fixture(autouse=True)
 def fresh_log(monkeypatch: pytest.MonkeyPatch) -> None:
     """What other tests have logged in the same second must not crowd out the lines of this one."""
-    monkeypatch.setattr(module, "log", NonBlockingLog())
+    log = NonBlockingLog()
+    monkeypatch.setattr(module, "log", log)
+    monkeypatch.setattr(endpoint_decoder, "log", log)
 
 
 def line(generation: int, reset: bool = False, **fields: Any) -> bytes:
@@ -131,7 +135,9 @@
 
     monkeypatch.setattr("rushroad.proxy.discovery.asyncio.sleep", noted)
     play(scenario)
-    spans = [min(module.MOST_RETRY, module.RETRY * 2**n) for n in range(8)] + [module.RETRY]
+    spans = [min(module.MAX_RECONNECT_PAUSE, module.FIRST_RECONNECT_PAUSE * 2**n) for n in range(8)] + [
+        module.FIRST_RECONNECT_PAUSE
+    ]
     assert all(span / 2 <= pause <= span for pause, span in zip(pauses, spans, strict=True))
 
 
@@ -142,7 +148,7 @@
         await told.get()
         writer, heard = await peer.hear()  # nothing was closed before that
         assert b"from=42 " in heard
-        monkeypatch.setattr(module, "SILENT", 9.0)
+        monkeypatch.setattr(module, "SILENCE_TIMEOUT", 9.0)
         peer.writers[0].write(chunk(line(43)))
         assert (await told.get())[0].version == 43
         writer.write(HEAD + chunk(b"\n"))
@@ -151,8 +157,10 @@
         writer.write(chunk(line(44)))
         assert (await told.get())[0].version == 44
 
-    assert 2 * 2.0 < module.SILENT < 6.0 - 1.0  # two heartbeats; with time to open another before it matters
-    monkeypatch.setattr(module, "SILENT", 0.05)
+    assert (
+        2 * 2.0 < module.SILENCE_TIMEOUT < 6.0 - 1.0
+    )  # two heartbeats; with time to open another before it matters
+    monkeypatch.setattr(module, "SILENCE_TIMEOUT", 0.05)
     play(scenario)
 
 
@@ -168,21 +176,23 @@
             pass
         assert ended[0] is not first
 
-    assert module.ANSWER + module.MOST_RETRY <= 0.5  # the least grace of a drain that the settings have had
+    assert (
+        module.RESPONSE_TIMEOUT + module.MAX_RECONNECT_PAUSE <= 0.5
+    )  # the least grace of a drain that the settings have had
     play(scenario)
 
 
 def test_watches_without_an_answer_do_not_pile_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "ANSWER", 0.001)
-    monkeypatch.setattr(module, "MOST_RETRY", 0.001)
-    monkeypatch.setattr(module, "RETRY", 0.001)
+    monkeypatch.setattr(module, "RESPONSE_TIMEOUT", 0.001)
+    monkeypatch.setattr(module, "MAX_RECONNECT_PAUSE", 0.001)
+    monkeypatch.setattr(module, "FIRST_RECONNECT_PAUSE", 0.001)
 
     async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
         opened = closed = 0
-        while opened < 3 * module.MOST_TRIES or closed < module.MOST_TRIES:
+        while opened < 3 * module.MAX_PENDING_WATCHES or closed < module.MAX_PENDING_WATCHES:
             heard = (await peer.hear())[1]
             opened, closed = opened + (heard != b""), closed + (heard == b"")
-            assert len(watch._tries) <= module.MOST_TRIES
+            assert len(watch._pending) <= module.MAX_PENDING_WATCHES
 
     play(scenario)
 
@@ -281,7 +291,7 @@
     async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(44, lifecycle=lifecycle, **fields)))
         (member,) = (await told.get())[0].endpoints
-        assert (member.name, member.state) == ("s-1", module.STATES[lifecycle])
+        assert (member.name, member.state) == ("s-1", endpoint_decoder.ENDPOINT_STATES[lifecycle])
 
     play(scenario)
 
@@ -360,7 +370,7 @@
 
 
 def test_until_the_new_address_answers_the_old_watch_tells_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "RETRY", 0.01)
+    monkeypatch.setattr(module, "FIRST_RECONNECT_PAUSE", 0.01)
 
     async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
         await peer.answer(HEAD + chunk(line(77)))
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -14,10 +14,12 @@
 
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, Result, UpdateKind
 from rushroad.proxy import discovery as module
+from rushroad.proxy import endpoint_decoder
 from rushroad.proxy.__main__ import FREEZE, PIECE, Freezer, read_config
-from rushroad.proxy.discovery import PART, Discovery, Line
+from rushroad.proxy.discovery import Discovery
+from rushroad.proxy.endpoint_decoder import MAX_ENDPOINTS_PER_PART, ListedEndpoint
 from rushroad.proxy.engine import Attempt, Engine
-from rushroad.proxy.json_splitter import RUN, Cutter, Run
+from rushroad.proxy.json_splitter import RUN_BYTES, JsonRun, JsonSplitter
 from rushroad.proxy.nonblocking_log import NonBlockingLog
 from rushroad.proxy.upstream import Connection, Upstream
 from tests.integration.test_process import config, connect, free_port, start
@@ -32,7 +34,9 @@
 @pytest.fixture(autouse=True)
 def fresh(monkeypatch: pytest.MonkeyPatch) -> None:
     """What other tests have logged in the same second must not crowd out this one; connections don't rest."""
-    monkeypatch.setattr(module, "log", NonBlockingLog())
+    fresh_log = NonBlockingLog()
+    monkeypatch.setattr(module, "log", fresh_log)
+    monkeypatch.setattr(endpoint_decoder, "log", fresh_log)
     monkeypatch.setattr("rushroad.proxy.upstream.SETTLE", 0.0)
 
 
@@ -65,7 +69,7 @@
         self.turn += 1
         asyncio.get_running_loop().call_soon(self._count_turn)
 
-    def _note(self, members: EndpointUpdate, lines: list[Line]) -> None:
+    def _note(self, members: EndpointUpdate, lines: list[ListedEndpoint]) -> None:
         assert members.endpoints == tuple(member for member, _ in lines)
         self.news.append((self.turn, members))
         self.came.set()
@@ -85,7 +89,9 @@
         return [member.name for _, members in self.news for member in members.endpoints]
 
 
-def play(scenario: Callable[[Watched], Awaitable[None]], memory: int = module.MEMORY) -> None:
+def play(
+    scenario: Callable[[Watched], Awaitable[None]], memory: int = endpoint_decoder.DEFAULT_MEMORY_LIMIT
+) -> None:
     async def start() -> None:
         async with Peer() as peer:
             watched = Watched(peer, memory)
@@ -105,9 +111,9 @@
         await watched.until(50)
         events = [members for _, members in watched.news]
         assert watched.named() == [f"s-{n}" for n in range(LONG)]
-        assert max(len(members.endpoints) for members in events) <= PART
+        assert max(len(members.endpoints) for members in events) <= MAX_ENDPOINTS_PER_PART
         turns = [turn for turn, _ in watched.news]
-        assert len(set(turns)) == len(turns) >= LONG / PART
+        assert len(set(turns)) == len(turns) >= LONG / MAX_ENDPOINTS_PER_PART
         assert events[-1].last
         assert [m.name for e in events for m in e.endpoints if m.state is EndpointState.DRAINING] == [
             f"s-{LONG - 1}"
@@ -155,16 +161,16 @@
     async def scenario(watched: Watched) -> None:
         text = json.dumps({"instances": entries(LONG), "reset": True, "generation": 50}).encode()
         cuts: list[int] = []
-        cut = Cutter.next
+        cut = JsonSplitter.next_run
 
-        def noted(cutter: Cutter) -> Run | None:
+        def noted(cutter: JsonSplitter) -> JsonRun | None:
             run = cut(cutter)
             cuts.extend([watched.turn] if run is not None else [])
             return run
 
-        monkeypatch.setattr(Cutter, "next", noted)
+        monkeypatch.setattr(JsonSplitter, "next_run", noted)
         await watched.peer.answer(HEAD + chunk(text[:-20]))
-        while len(cuts) < len(text) // RUN:
+        while len(cuts) < len(text) // RUN_BYTES:
             await asyncio.sleep(0)
         assert len(set(cuts)) == len(cuts)  # each has a turn of its own
         assert watched.discovery._watch is not None  # though it has told nothing, it speaks
@@ -249,15 +255,15 @@
 ) -> None:
     data = {**before, "generation": 1, "reset": True, "instances": AWKWARD * 2, "after": {"instances": ["}"]}}
     text = 2 * (json.dumps(data, indent=indent, ensure_ascii=False) + "\n").encode()
-    cutter, names, ends = Cutter(("instances",)), [], 0
+    cutter, names, ends = JsonSplitter(("instances",)), [], 0
     for at in range(0, len(text), step):
         cutter.feed(text[at : at + step])
-        while (run := cutter.next()) is not None:
-            names += [entry["instanceId"] for entry in json.loads(b"[" + run.text + b"]")]
-            ends += run.last
+        while (run := cutter.next_run()) is not None:
+            names += [entry["instanceId"] for entry in json.loads(b"[" + run.entries + b"]")]
+            ends += run.ends_document
     assert names == [entry["instanceId"] for entry in AWKWARD * 4]
     assert ends == 2
-    assert cutter.empty()
+    assert cutter.is_between_documents()
 
 
 def test_a_watch_that_has_answered_but_told_nothing_does_not_count() -> None:
@@ -378,12 +384,12 @@
             sender, chance = Sender(servers, 1_000), random.Random(2)
             sender.tell(range(LONG), True)
 
-            def told(members: EndpointUpdate, lines: list[Line]) -> None:
+            def told(members: EndpointUpdate, lines: list[ListedEndpoint]) -> None:
                 gone.update(member.name for member in members.endpoints)
                 sender.servers.update_endpoints(lines, False)
                 watched._note(members, lines)
 
-            watched.discovery._news = told
+            watched.discovery._on_update = told
             entries = [{"instanceId": f"s-{n}", "lifecycle": "DELETED"} for n in range(going)]
             text = json.dumps({"generation": 50, "reset": False, "instances": entries}).encode()
             await watched.peer.answer(HEAD + chunk(text))
@@ -395,7 +401,7 @@
                 sender.send(n)
             results = [await sender.result() for _ in range(sender.count - sender.servers.open)]
             assert results.count(Result.CONNECT_FAILED) >= going // 100
-            assert max(len(members.endpoints) for _, members in watched.news) <= PART
+            assert max(len(members.endpoints) for _, members in watched.news) <= MAX_ENDPOINTS_PER_PART
             assert len({turn for turn, _ in watched.news}) == len(watched.news)
             await sender.served(going)
             sender.servers.close()
@@ -437,8 +443,8 @@
 def test_what_is_held_of_the_servers_is_left_out_of_collections(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         freezer = Freezer(asyncio.get_running_loop())
-        for _ in range(3 * FREEZE // PART):
-            freezer.note(PART)
+        for _ in range(3 * FREEZE // MAX_ENDPOINTS_PER_PART):
+            freezer.note(MAX_ENDPOINTS_PER_PART)
             await asyncio.sleep(0)
 
     frozen: list[None] = []
