--- a/rushroad/bench/cli.py
+++ b/rushroad/bench/cli.py
@@ -4,8 +4,8 @@
 
 import click
 
-from rushroad.bench.real_experiments import COMMANDS as REAL_COMMANDS
-from rushroad.bench.simulated_experiments import COMMANDS as HOLLOW_COMMANDS
+from rushroad.bench.real.experiments import COMMANDS as REAL_COMMANDS
+from rushroad.bench.simulated.experiments import COMMANDS as HOLLOW_COMMANDS
 
 
 @click.group()
--- a/rushroad/bench/load.py
+++ b/rushroad/bench/load.py
@@ -19,7 +19,7 @@
 import uvloop
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from rushroad.bench.commands import serve_orders
+from rushroad.bench.worker import serve_orders
 from rushroad.proxy.resp import pack
 
 MOST_US = 60_000_000  # of a histogram
--- /dev/null
+++ b/rushroad/bench/real/__init__.py
@@ -0,0 +1,1 @@
+"""Experiments on real gateway processes before stand-ins on loopback."""
--- a/rushroad/bench/real_experiments.py
+++ b/rushroad/bench/real/experiments.py
@@ -14,14 +14,14 @@
 import click
 import structlog
 
-from rushroad.bench.commands import Worker
-from rushroad.bench.gateway_processes import CLASS, PLAN, Peers, RealFleet, time_limit
 from rushroad.bench.load import OUTCOMES, SERVED
+from rushroad.bench.real.gateway_processes import CLASS, PLAN, Peers, RealFleet, time_limit
 from rushroad.bench.report import Cell, Run, fit
-from rushroad.bench.simulated_experiments import out_option, seed_option, sizes_of
-from rushroad.bench.simulated_fleet import Size, size_of
+from rushroad.bench.simulated.experiments import out_option, seed_option, sizes_of
+from rushroad.bench.simulated.fleet import Size, size_of
 from rushroad.bench.stand_ins.discovery import entry
 from rushroad.bench.stand_ins.rate_servers import server_address
+from rushroad.bench.worker import Worker
 
 SIZES = "3/60,101/2000,1010/20000,4900/97000"  # gateways/servers, up to the coming size
 RATES = "43,87,173,346"  # requests a second at a gateway, to twice the coming peak
--- a/rushroad/bench/gateway_processes.py
+++ b/rushroad/bench/real/gateway_processes.py
@@ -18,7 +18,7 @@
 
 import psutil
 
-from rushroad.bench.commands import ROOT
+from rushroad.bench.worker import ROOT
 from rushroad.proxy.resp import pack
 
 DEPLOY_FILE = ROOT / "deploy/balancer.toml"
--- /dev/null
+++ b/rushroad/bench/simulated/__init__.py
@@ -0,0 +1,1 @@
+"""Experiments on simulated fleets: the decision policy without sockets, on a virtual clock."""
--- a/rushroad/bench/simulated_experiments.py
+++ b/rushroad/bench/simulated/experiments.py
@@ -17,7 +17,7 @@
 import xxhash
 
 from rushroad.bench.report import Cell, Run, fit
-from rushroad.bench.simulated_fleet import (
+from rushroad.bench.simulated.fleet import (
     CELL,
     SECOND,
     SETTINGS,
--- a/rushroad/bench/stand_ins/__main__.py
+++ b/rushroad/bench/stand_ins/__main__.py
@@ -13,10 +13,10 @@
 
 import uvloop
 
-from rushroad.bench.commands import serve_orders
 from rushroad.bench.stand_ins.counter import Counter, Mode
 from rushroad.bench.stand_ins.discovery import Discovery
 from rushroad.bench.stand_ins.rate_servers import RateServers
+from rushroad.bench.worker import serve_orders
 
 
 class StandIns:
--- a/tests/bench/test_real_experiments.py
+++ b/tests/bench/test_real_experiments.py
@@ -12,10 +12,10 @@
 from click.testing import CliRunner
 
 from rushroad.bench.cli import main
-from rushroad.bench.commands import ROOT
-from rushroad.bench.gateway_processes import OverBounds, Peers, RealFleet, time_limit
-from rushroad.bench.real_experiments import Scene, measure, measure_changes, measure_list
-from rushroad.bench.simulated_fleet import size_of
+from rushroad.bench.real.experiments import Scene, measure, measure_changes, measure_list
+from rushroad.bench.real.gateway_processes import OverBounds, Peers, RealFleet, time_limit
+from rushroad.bench.simulated.fleet import size_of
+from rushroad.bench.worker import ROOT
 
 PROCESSES = 4  # of a demo of two gateways: these, the stand-ins and the clients
 
@@ -110,7 +110,7 @@
 ) -> None:
     deploy = tmp_path / "deploy.toml"
     deploy.write_text('run = "echo no such gateway; exit 3"')
-    monkeypatch.setattr("rushroad.bench.gateway_processes.DEPLOY_FILE", deploy)
+    monkeypatch.setattr("rushroad.bench.real.gateway_processes.DEPLOY_FILE", deploy)
     done = CliRunner().invoke(main, ["demo", "--size", "1/3"])
     assert done.exit_code == 1
     (line,) = [line for line in done.stdout.splitlines() if line.startswith("{")]
--- a/tests/bench/test_simulated_fleet.py
+++ b/tests/bench/test_simulated_fleet.py
@@ -5,9 +5,9 @@
 import click
 import pytest
 
-from rushroad.bench import simulated_experiments as experiments
 from rushroad.bench.report import Run
-from rushroad.bench.simulated_fleet import LIST_MOST, MS, SECOND, Attempt, Fleet, HollowServer, Size, size_of
+from rushroad.bench.simulated import experiments
+from rushroad.bench.simulated.fleet import LIST_MOST, MS, SECOND, Attempt, Fleet, HollowServer, Size, size_of
 from rushroad.policy.events import Result
 from rushroad.policy.subsetting import SERVERS_MOST
 
--- a/tests/bench/test_stand_ins.py
+++ b/tests/bench/test_stand_ins.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rushroad.bench.commands import Worker
+from rushroad.bench.worker import Worker
 from rushroad.proxy.resp import pack
 
 SIZES = {"servers": 12, "work_s": 0.0, "reports": True, "shards": 1, "indent": None, "seed": 7}
--- a/tests/integration/test_actual_units.py
+++ b/tests/integration/test_actual_units.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rushroad.bench.gateway_processes import settings
+from rushroad.bench.real.gateway_processes import settings
 from rushroad.proxy.engine import Attempt, Engine
 from rushroad.proxy.upstream import Upstream
 from tests.proxy.test_upstream import FAST, LONG, at, held
--- a/tests/integration/test_largest_values.py
+++ b/tests/integration/test_largest_values.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from rushroad.bench.gateway_processes import settings
+from rushroad.bench.real.gateway_processes import settings
 from tests.support.gateway_cluster import World, call
 from tests.support.loopback import run
 
--- a/tests/support/gateway_cluster.py
+++ b/tests/support/gateway_cluster.py
@@ -18,7 +18,7 @@
 from types import TracebackType
 from typing import Any, cast
 
-from rushroad.bench.gateway_processes import settings as bench_settings
+from rushroad.bench.real.gateway_processes import settings as bench_settings
 from rushroad.bench.stand_ins.counter import Counter
 from rushroad.bench.stand_ins.replies import Replies, Reply
 from rushroad.proxy import resp
