--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -15,7 +15,7 @@
 from rushroad.policy.settings import Idempotency, Settings
 from rushroad.policy.settings_reader import Names
 from rushroad.proxy import resp
-from rushroad.proxy.arrival_times import Arrivals
+from rushroad.proxy.arrival_times import ArrivalTimes
 from rushroad.proxy.engine import Engine
 from rushroad.proxy.transient_errors import AGAIN, RESOURCES, look, readable
 
@@ -180,9 +180,9 @@
         """waited_since: when it may have come, where it could not be accepted at once."""
         self._clients, self.descriptor = clients, descriptor
         self._reader = resp.Reader(MOST_WORDS)
-        self._arrivals = Arrivals()
+        self._arrivals = ArrivalTimes()
         if waited_since is not None:
-            self._arrivals.paused(waited_since)  # and is read as soon as it is made
+            self._arrivals.reading_paused(waited_since)  # and is read as soon as it is made
         self._holds = 0
         self._paused = False  # it is not read
         self._ending = False  # nothing more is taken; ended once all is answered
@@ -202,7 +202,7 @@
         """Read what is whole; keep the rest, within bounds."""
         self._fresh = False
         if not self._ending:
-            self._arrivals.came(len(data), self._clients.here_since())
+            self._arrivals.record(len(data), self._clients.here_since())
             self._reader.feed(data)
             if not self._holds:
                 self._read()
@@ -242,7 +242,7 @@
 
     def _take(self, words: list[bytes]) -> bool:
         """One command; false where it is none that is known."""
-        call = Call(self, self._arrivals.of(self._reader.consumed))
+        call = Call(self, self._arrivals.arrival_of(self._reader.consumed))
         self.queue.append(call)
         self._clients.idle.pop(self, None)
         try:
@@ -299,14 +299,14 @@
     def _pause(self) -> None:
         if not self._paused and not self.transport.is_closing():
             self._paused = True
-            self._arrivals.paused(self._clients.loop.time())
+            self._arrivals.reading_paused(self._clients.loop.time())
             self.transport.pause_reading()
             self._clients.watch(self)
 
     def _resume(self) -> None:
         if self._paused:
             self._paused = False
-            self._arrivals.resumed(readable(self.descriptor))
+            self._arrivals.reading_resumed(readable(self.descriptor))
             self._clients.unwatch(self)
             self.transport.resume_reading()
 
