--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -18,7 +18,8 @@
 
 from rushroad.policy.events import EndpointUpdate, UpdateKind
 from rushroad.policy.settings_reader import Names, read_names, read_settings
-from rushroad.proxy.client_connection import ClientListener, Terms
+from rushroad.proxy.client_command import CommandSchema
+from rushroad.proxy.client_listener import ClientListener
 from rushroad.proxy.counter_client import CounterClient
 from rushroad.proxy.discovery import UNREADABLE, Discovery, EndpointDecoder, Line, News, read_address
 from rushroad.proxy.engine import Engine
@@ -139,7 +140,7 @@
     if settings.counter is not None:
         counter = CounterClient(read_address(config["counter"]), settings.counter.timeout, engine.post, loop)
         engine.counter = counter
-    clients = ClientListener(engine, Terms.of(settings, names), sockets - most, loop)
+    clients = ClientListener(engine, CommandSchema.from_settings(settings, names), sockets - most, loop)
 
     freezer = Freezer(loop)
 
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -41,29 +41,29 @@
     """A client's request, as the engine sees it."""
 
     id: bytes
-    arrived: float  # when its last byte came; seconds of the monotonic clock, which the loop's is
+    arrived_at: float  # when its last byte arrived; seconds of the monotonic clock, which the loop's is
     class_index: int
-    plan: int
+    plan_index: int
     tenant: int
     units: float
-    patience: int  # milliseconds, from when the client sent it
-    spread: int
-    first: int
-    retry: bool
+    time_remaining_ms: int  # until its client gives up, from when it sent the call
+    entry_points: int
+    first_entry: int
+    is_retry: bool
 
-    def has_left(self) -> bool:
-        """Whether its client has closed; the engine is told of all that goes with it."""
+    def poll_disconnect(self) -> bool:
+        """Return whether its client has closed; the engine is then told of all requests on the connection."""
 
-    def command(self, wait: int) -> bytes:
-        """The command for a server, which is told how many microseconds the gateway waits."""
+    def forwarded_command(self, time_remaining: int) -> bytes:
+        """Return the command for a rate server; `time_remaining`, in microseconds, replaces the client's."""
 
-    def served(self, value: bytes) -> None:
-        """Answer with a server's value."""
+    def succeed(self, value: bytes) -> None:
+        """Answer with a rate server's value."""
 
-    def refused(self, wait: int) -> None:
-        """Answer that it may come again, after so many microseconds if not 0."""
+    def reject(self, retry_after: int) -> None:
+        """Answer that it is rejected; a client may retry after so many microseconds, where this is not 0."""
 
-    def failed(self) -> None:
+    def fail(self) -> None:
         """Answer that it failed."""
 
 
@@ -154,13 +154,15 @@
         self._taken.add(call.id)
         request = next(self._ids)
         # Nobody waits for longer than the class's deadline, whatever a client says.
-        patience = min(call.patience * 1_000, self._settings.request_classes[call.class_index].deadline)
-        waited = max(0, int((time.monotonic() - call.arrived) * 1e6))
+        patience = min(
+            call.time_remaining_ms * 1_000, self._settings.request_classes[call.class_index].deadline
+        )
+        waited = max(0, int((time.monotonic() - call.arrived_at) * 1e6))
         left = max(0, patience - WAY - waited)
         deadline = self._loop.call_later((left + LATE) / 1e6, self._outlived, request)
         self._open[request] = InFlightRequest(call, self.clock.now() + left, deadline)
-        extras = (call.units, left, call.spread, call.first, call.retry)
-        self.post(Request(request, call.class_index, call.plan, call.tenant, *extras))
+        extras = (call.units, left, call.entry_points, call.first_entry, call.is_retry)
+        self.post(Request(request, call.class_index, call.plan_index, call.tenant, *extras))
         return request
 
     def client_disconnected(self, request: int) -> None:
@@ -195,7 +197,7 @@
         first_good = False
         if result is Result.OK and (closed := self._close(attempt.request_id)) is not None:
             first_good = True
-            closed.call.served(value)
+            closed.call.succeed(value)
         self._forget_id(attempt.in_flight)
         elapsed = self.clock.now() - attempt.started_at
         final = attempt.in_flight.over
@@ -248,7 +250,7 @@
     def _fail(self, request: int) -> None:
         closed = self._close(request)
         if closed is not None:
-            closed.call.failed()
+            closed.call.fail()
             self.post(ClientDisconnected(request))
 
     def _act(self, action: Action) -> None:
@@ -261,11 +263,11 @@
                 self._loop.call_later(action.delay / 1e6, self.post, TimerFired(action.token))
             case Reject():
                 if (closed := self._close(action.request_id)) is not None:
-                    closed.call.refused(action.retry_after if self._settings.limits.retry_after else 0)
+                    closed.call.reject(action.retry_after if self._settings.limits.retry_after else 0)
                 self._open.pop(action.request_id, None)
             case Fail():
                 if (closed := self._close(action.request_id)) is not None:
-                    closed.call.failed()
+                    closed.call.fail()
                 self._open.pop(action.request_id, None)
             case CancelAttempt():
                 attempt = self._out.get((action.request_id, action.attempt))
@@ -281,7 +283,7 @@
         number = held.attempts
         held.attempts += 1
         # Between the close and its reading lie a turn of the loop, and more where the client is not read.
-        if held.over or held.call.has_left() or number >= self._settings.limits.max_attempts:
+        if held.over or held.call.poll_disconnect() or number >= self._settings.limits.max_attempts:
             moot = AttemptOutcome(
                 action.request_id, number, action.endpoint, Result.NOT_FORWARDED, 0, held.over
             )
@@ -308,13 +310,13 @@
         self._forget_id(held)
         return held
 
-    def give_up(self) -> None:
+    def answer_all(self) -> None:
         """The end of the process: all that is open gets its answer now; a refusal where nothing was sent."""
         for request, held in list(self._open.items()):
             if held.attempts:
                 self._fail(request)
             elif (closed := self._close(request)) is not None:
-                closed.call.refused(0)
+                closed.call.reject(0)
                 self.post(ClientDisconnected(request))
 
     def _forget_id(self, held: InFlightRequest) -> None:
--- /dev/null
+++ b/rushroad/proxy/loop_lag.py
@@ -0,0 +1,33 @@
+"""Measures how late the event loop runs, so that input which waited for it counts from its arrival."""
+
+from __future__ import annotations
+
+import asyncio
+
+PROBE_INTERVAL = 0.05  # seconds
+PROBE_TOLERANCE = 0.005  # seconds by which a probe may be late without counting as a stall
+BACKLOG_TIME = 0.05  # seconds after a stall in which input that waited through it may still be read
+
+
+class LoopLagMonitor:
+    """Probes the event loop with a timer: where a probe runs late, the loop was stalled since it was due."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        self._loop = loop
+        self._probed_at = loop.time()
+        self._stalled_since, self._backlog_until = 0.0, 0.0  # of the last stall
+
+    def start(self) -> None:
+        """Probe now, and from now on."""
+        now, due = self._loop.time(), self._probed_at + PROBE_INTERVAL
+        if now - due > PROBE_TOLERANCE:
+            self._stalled_since, self._backlog_until = due, now + BACKLOG_TIME
+        self._probed_at = now
+        self._loop.call_later(PROBE_INTERVAL, self.start)
+
+    def waiting_since(self) -> float:
+        """Return since when input that is read now may have waited for the loop; seconds of its clock."""
+        now = self._loop.time()
+        return (
+            self._stalled_since if now <= self._backlog_until else min(now, self._probed_at + PROBE_INTERVAL)
+        )
--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -379,7 +379,7 @@
             self.end(
                 attempt, Result.NOT_FORWARDED
             )  # the server is another one now, of which this says nothing
-        elif attempt.call.has_left():  # while it came up; what goes with that has ended the attempt
+        elif attempt.call.poll_disconnect():  # while it came up; what goes with that has ended the attempt
             pool.add(connection)
             pool.give(connection)
         else:
@@ -388,7 +388,7 @@
 
     def _write(self, attempt: Attempt, connection: Connection, wait: int) -> None:
         self._out[attempt] = (self._out[attempt][0], connection)
-        connection.carry(attempt, attempt.call.command(wait))
+        connection.carry(attempt, attempt.call.forwarded_command(wait))
 
     def cancel(self, attempt: Attempt) -> None:
         """Give an attempt up."""
--- a/tests/integration/test_standing_terms.py
+++ b/tests/integration/test_standing_terms.py
@@ -28,7 +28,8 @@
     TimerFired,
 )
 from rushroad.proxy import discovery, engine
-from rushroad.proxy.client_connection import MOST_OPEN, ClientListener, Connection
+from rushroad.proxy.client_connection import MAX_UNANSWERED, BlockReason
+from rushroad.proxy.client_listener import ClientListener
 from rushroad.proxy.discovery import Discovery
 from rushroad.proxy.engine import Engine
 from rushroad.proxy.upstream import Upstream
@@ -46,7 +47,7 @@
 from tests.proxy.test_engine import Module
 from tests.proxy.test_upstream import LONG, OK, at
 from tests.support.gateway_driver import SETTINGS
-from tests.support.loopback import LOCAL, NAMES, TERMS, Heard, Peer, call, resp, run
+from tests.support.loopback import LOCAL, NAMES, SCHEMA, Heard, Peer, call, resp, run
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close resets
 PING, PONG = resp(b"PING"), b"+PONG\r\n"
@@ -77,7 +78,7 @@
         self._loop, self.spans = asyncio.get_running_loop(), list[float]()
 
     def call_later(self, span: float, what: Callable[..., None], *args: object) -> asyncio.TimerHandle:
-        if what.__name__ == "_look":
+        if what.__name__ == "_poll":
             self.spans.append(span)
         return self._loop.call_later(span, what, *args)
 
@@ -144,7 +145,7 @@
         async with Peer() as peer:
             servers = engine.backend = Upstream(engine, SETTINGS, 15_000_000, 8, loop)
             servers.update_endpoints(at(peer.port), True)
-            clients = ClientListener(engine, TERMS, 8, loop)
+            clients = ClientListener(engine, SCHEMA, 8, loop)
             await clients.listen(LOCAL, 0)
             line = Line(engine, peer, clients, servers)
             await line.serve(line.client, 1)
@@ -203,7 +204,7 @@
         yield from send_after_waits(event)
 
     async def scenario(line: Line) -> None:
-        taken = min(requests, MOST_OPEN)
+        taken = min(requests, MAX_UNANSWERED)
         if wait is Request:
             leaving.append(line.client)
         with line.connect() as other:
@@ -255,7 +256,7 @@
         line.client.sendall(call(2) + call(3) + call(4)[:-5])
         await until(lambda: len(line.counts.asked) == 2)
         stop = asyncio.create_task(line.clients.stop(0.0, 60.0))
-        await until(lambda: line.clients.closing)
+        await until(lambda: line.clients.connections.shutting_down)
         leaving.append(line.client)
         line.counts.tell()
         await until(lambda: ended() == 2)
@@ -269,21 +270,20 @@
 @pytest.mark.parametrize("abrupt", [True, False])
 def test_what_waits_unread_behind_a_close_is_not_taken(monkeypatch: pytest.MonkeyPatch, abrupt: bool) -> None:
     # It would take its units of the quota, and perhaps be sent.
-    monkeypatch.setattr(
-        "rushroad.proxy.client_connection.LOOK", 60.0
-    )  # answers make room before the next look
+    # Answers make room before the next poll.
+    monkeypatch.setattr("rushroad.proxy.disconnect_poll.POLL_INTERVAL", 60.0)
 
     async def scenario() -> None:
         heard = Heard()
-        clients = ClientListener(cast(Engine, heard), TERMS, 8, asyncio.get_running_loop())
+        clients = ClientListener(cast(Engine, heard), SCHEMA, 8, asyncio.get_running_loop())
         await clients.listen(LOCAL, 0)
         client = socket.create_connection((LOCAL, clients.port))
         client.sendall(b"".join(call(number) for number in range(200)))
-        taken = [await heard.calls.get() for _ in range(MOST_OPEN)]
-        await until(lambda: taken[0].connection._holds == Connection.FULL)
+        taken = [await heard.calls.get() for _ in range(MAX_UNANSWERED)]
+        await until(lambda: taken[0].connection._blocked_by == BlockReason.PIPELINE_FULL)
         leave(client, abrupt)
         for got in reversed(taken):  # one write: only a second one would show that nobody reads
-            got.failed()
+            got.fail()
         assert heard.calls.empty()
 
     run(scenario)
@@ -292,14 +292,14 @@
 def test_a_client_that_is_not_read_is_looked_at_well_before_it_must_have_been_noticed() -> None:
     async def scenario() -> None:
         heard, loop = Heard(), Noted()
-        clients = ClientListener(cast(Engine, heard), TERMS, 8, cast(asyncio.AbstractEventLoop, loop))
+        clients = ClientListener(cast(Engine, heard), SCHEMA, 8, cast(asyncio.AbstractEventLoop, loop))
         await clients.listen(LOCAL, 0)
         client = socket.create_connection((LOCAL, clients.port))
         client.sendall(b"".join(call(number) for number in range(200)))
-        for _ in range(MOST_OPEN):
+        for _ in range(MAX_UNANSWERED):
             await heard.calls.get()
         client.close()
-        for _ in range(MOST_OPEN):
+        for _ in range(MAX_UNANSWERED):
             await heard.left.get()
         assert loop.spans and max(loop.spans) <= ALLOWED / 2  # the rest is for a busy loop
 
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -8,9 +8,10 @@
 
 import pytest
 
-from rushroad.proxy.client_connection import MOST_OPEN, ClientListener, Connection
+from rushroad.proxy.client_connection import MAX_UNANSWERED, ClientConnection
+from rushroad.proxy.client_listener import ClientListener
 from rushroad.proxy.engine import Engine
-from tests.support.loopback import LOCAL, TENANT, TERMS, Heard, call, resp, run
+from tests.support.loopback import LOCAL, SCHEMA, TENANT, Heard, call, resp, run
 
 PING, PONG = resp(b"PING"), b"+PONG\r\n"
 Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -20,10 +21,10 @@
 def play(scenario: Scenario, most: int = 8) -> None:
     async def start() -> None:
         heard = Heard()
-        clients = ClientListener(cast(Engine, heard), TERMS, most, asyncio.get_running_loop())
+        clients = ClientListener(cast(Engine, heard), SCHEMA, most, asyncio.get_running_loop())
         await clients.listen(LOCAL, 0)
         await scenario(heard, clients, lambda: asyncio.open_connection(LOCAL, clients.port))
-        for connection in list(clients.connections):
+        for connection in list(clients.connections.open):
             connection.transport.abort()
 
     run(start)
@@ -34,13 +35,13 @@
         reader, writer = await connect()
         writer.write(call(1) + call(2) + PING + call(3))
         first, second, third = [await heard.calls.get() for _ in range(3)]
-        third.failed()
-        second.refused(1_200)
-        first.served(b"one\r\n")
+        third.fail()
+        second.reject(1_200)
+        first.succeed(b"one\r\n")
         wanted = b"$5\r\none\r\n\r\n" + b"-BUSY 2\r\n" + PONG + b"-ERR failed\r\n"
         assert await reader.readexactly(len(wanted)) == wanted
         writer.write(call(4))
-        (await heard.calls.get()).refused(0)
+        (await heard.calls.get()).reject(0)
         assert await reader.readexactly(7) == b"-BUSY\r\n"
 
     play(scenario)
@@ -56,9 +57,9 @@
             await writer.drain()
             await asyncio.sleep(0)
         got = await heard.calls.get()
-        assert (got.class_index, got.plan, got.tenant, got.units) == (1, 0, 0xAB, 1.5)
-        assert (got.patience, got.spread, got.first, got.retry) == (480, 3, 1, True)
-        assert got.command(123_456) == data.replace(b",d=480,", b",d=123,")
+        assert (got.class_index, got.plan_index, got.tenant, got.units) == (1, 0, 0xAB, 1.5)
+        assert (got.time_remaining_ms, got.entry_points, got.first_entry, got.is_retry) == (480, 3, 1, True)
+        assert got.forwarded_command(123_456) == data.replace(b",d=480,", b",d=123,")
 
     play(scenario)
 
@@ -148,7 +149,7 @@
         other_reader, other = await connect()  # it harms no other connection
         other.write(PING)
         assert await other_reader.readline() == PONG
-        got.served(b"")
+        got.succeed(b"")
         assert await reader.readexactly(6) == b"$0\r\n\r\n"
         if data.startswith(PING):
             assert await reader.readline() == PONG
@@ -163,12 +164,12 @@
         _, writer = await connect()
         writer.write(call(1) + call(2))
         first, second = await heard.calls.get(), await heard.calls.get()
-        second.failed()
+        second.fail()
         writer.transport.abort()
         assert await heard.left.get() == 1
-        first.served(b"late")
+        first.succeed(b"late")
         assert heard.left.empty()
-        assert not clients.connections
+        assert not clients.connections.open
 
     play(scenario)
 
@@ -184,7 +185,7 @@
         assert await idle[0].read() == b""
         third[1].write(PING)
         assert await third[0].readline() == PONG
-        got.failed()
+        got.fail()
         assert await busy[0].readline() == b"-ERR failed\r\n"
 
     play(scenario, most=2)
@@ -200,10 +201,10 @@
         late[1].write(call(2))
         last = await heard.calls.get()
         assert await idle[0].read() == b""
-        got.served(b"x")
+        got.succeed(b"x")
         assert await busy[0].read() == b"$1\r\nx\r\n"
         assert not stopping.done()
-        last.failed()
+        last.fail()
         assert await late[0].read() == b"-ERR failed\r\n"
         await stopping
         with pytest.raises(ConnectionRefusedError):
@@ -213,14 +214,14 @@
 
 
 def test_a_half_read_command_does_not_hold_the_stop_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("rushroad.proxy.client_connection.HALF_READ", 0.02)
+    monkeypatch.setattr("rushroad.proxy.client_listener.PARTIAL_COMMAND_TIMEOUT", 0.02)
 
     async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         reader, writer = await connect()
         writer.write(call(1) + call(2)[:-5])
         got = await heard.calls.get()
         stopping = asyncio.create_task(clients.stop(0.0, 5.0))
-        got.served(b"x")
+        got.succeed(b"x")
         assert await reader.read() == b"$1\r\nx\r\n"
         await stopping
 
@@ -246,9 +247,9 @@
         reader, writer = await connect()
         writer.write(call(1) + b"nonsense")
         got = await heard.calls.get()
-        (connection,) = clients.connections
+        (connection,) = clients.connections.open
         assert not connection.transport.is_reading()
-        got.failed()
+        got.fail()
         assert await reader.read() == b"-ERR failed\r\n-ERR Protocol error: an unexpected type\r\n"
 
     play(scenario)
@@ -260,12 +261,12 @@
         reader, writer = await connect()
         writer.write(b"".join(call(number) for number in range(200)) + PING)
         first = await heard.calls.get()
-        (connection,) = clients.connections
-        assert len(connection.queue) == MOST_OPEN
+        (connection,) = clients.connections.open
+        assert len(connection.unanswered) == MAX_UNANSWERED
         assert not connection.transport.is_reading()
-        first.failed()
+        first.fail()
         for _ in range(199):
-            (await heard.calls.get()).failed()
+            (await heard.calls.get()).fail()
         for _ in range(200):
             assert await reader.readline() == b"-ERR failed\r\n"
         assert await reader.readline() == PONG
@@ -276,13 +277,13 @@
 
 def test_one_that_sends_what_is_no_call_is_not_read_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards the others' CPU against one that sends the same again as soon as it is turned away.
-    monkeypatch.setattr("rushroad.proxy.client_connection.PAUSE", 0.02)
+    monkeypatch.setattr("rushroad.proxy.client_connection.INVALID_COMMAND_PAUSE", 0.02)
 
     async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         reader, writer = await connect()
         writer.write(resp(b"GET", b"x"))
         assert (await reader.readline()).startswith(b"-ERR ")
-        (connection,) = clients.connections
+        (connection,) = clients.connections.open
         assert not connection.transport.is_reading()
         writer.write(PING)
         assert await reader.readline() == PONG
@@ -293,8 +294,8 @@
 
 @pytest.mark.parametrize("start", [b"", call(1)[:-5], PING + call(1)[:-5]])
 def test_one_that_does_not_finish_a_command_is_ended(start: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("rushroad.proxy.client_connection.PATIENCE", 0.02)
-    monkeypatch.setattr("rushroad.proxy.client_connection.SWEEP", 0.01)
+    monkeypatch.setattr("rushroad.proxy.connection_table.CLIENT_TIMEOUT", 0.02)
+    monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL", 0.01)
 
     async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         idle_reader, idle = await connect()
@@ -304,9 +305,9 @@
         writer.write(start)
         answer = (await reader.read()).removeprefix(PONG)
         assert answer.startswith(b"-ERR the rest") if start else answer == b""
-        while len(clients.connections) > 1:  # cut off, though this end has not closed
+        while len(clients.connections.open) > 1:  # cut off, though this end has not closed
             await asyncio.sleep(0)
-        assert len(clients.connections) == 1  # one that has been answered may idle
+        assert len(clients.connections.open) == 1  # one that has been answered may idle
         idle.write(PING)
         assert await idle_reader.readline() == PONG
 
@@ -322,7 +323,7 @@
         silent = [await connect() for _ in range(20)]
         for reader, _ in silent[:16]:  # the oldest; four of the eight are left to them
             assert await reader.read() == b""
-        assert len(clients.connections) == 8
+        assert len(clients.connections.open) == 8
         for reader, writer in served + silent[16:]:
             writer.write(PING)
             assert await reader.readline() == PONG
@@ -339,22 +340,22 @@
         reader, _ = await connect()
         assert await reader.read() == b""
         for got, (reader, _) in zip(open_calls, ends, strict=True):
-            got.failed()
+            got.fail()
             assert await reader.readline() == b"-ERR failed\r\n"
 
     play(scenario, most=2)
 
 
 def test_one_that_never_reads_does_not_hold_the_stop(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("rushroad.proxy.client_connection.HALF_READ", 0.02)
+    monkeypatch.setattr("rushroad.proxy.client_listener.PARTIAL_COMMAND_TIMEOUT", 0.02)
 
     async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         _, writer = await connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(call(1))
-        (await heard.calls.get()).served(b"x" * (64 << 20))  # more than the sockets' buffers hold
+        (await heard.calls.get()).succeed(b"x" * (64 << 20))  # more than the sockets' buffers hold
         await clients.stop(0.0, 0.02)
-        while clients.connections:
+        while clients.connections.open:
             await asyncio.sleep(0)
 
     play(scenario)
@@ -367,28 +368,28 @@
     longest: float, bound: int, whole: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Cut before, it would lose what is owed to it; the memory for that is bounded.
-    monkeypatch.setattr("rushroad.proxy.client_connection.SWEEP", 0.01)
-    monkeypatch.setattr("rushroad.proxy.client_connection.PATIENCE", 0.0)
-    monkeypatch.setattr("rushroad.proxy.client_connection.MOST_UNREAD", bound << 20)
+    monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL", 0.01)
+    monkeypatch.setattr("rushroad.proxy.connection_table.CLIENT_TIMEOUT", 0.0)
+    monkeypatch.setattr("rushroad.proxy.connection_table.MAX_UNREAD_BYTES", bound << 20)
     swept = asyncio.Event()
 
     async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
-        clients.terms = replace(TERMS, longest=longest)
+        clients.connections.schema = replace(SCHEMA, longest_deadline=longest)
         reader, writer = await connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(call(1) + call(2))
         first, second = await heard.calls.get(), await heard.calls.get()
-        overdue = Connection.overdue
+        time_out = ClientConnection.time_out
 
-        def noted(late: Connection) -> None:
-            overdue(late)
+        def noted(late: ClientConnection) -> None:
+            time_out(late)
             swept.set()
 
-        monkeypatch.setattr(Connection, "overdue", noted)
-        first.served(b"x" * (16 << 20))  # more than the sockets' buffers hold
+        monkeypatch.setattr(ClientConnection, "time_out", noted)
+        first.succeed(b"x" * (16 << 20))  # more than the sockets' buffers hold
         await swept.wait()
-        assert (second.connection in clients.connections) is whole
-        second.failed()
+        assert (second.connection in clients.connections.open) is whole
+        second.fail()
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         if whole:
             assert await reader.readline() == b"$%d\r\n" % (16 << 20)
@@ -400,8 +401,8 @@
 
 def test_of_many_that_have_idled_long_the_oldest_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards the room of clients that have more to ask: some ask once and keep their connection for good.
-    monkeypatch.setattr("rushroad.proxy.client_connection.IDLE_LEAST", 0.0)
-    monkeypatch.setattr("rushroad.proxy.client_connection.SWEEP", 0.01)
+    monkeypatch.setattr("rushroad.proxy.connection_table.MIN_IDLE_TIME", 0.0)
+    monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL", 0.01)
 
     async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         ends = [await connect() for _ in range(4)]
@@ -417,13 +418,13 @@
     play(scenario)
 
 
-@pytest.mark.parametrize("most_open", [1, MOST_OPEN])
+@pytest.mark.parametrize("most_open", [1, MAX_UNANSWERED])
 @pytest.mark.parametrize("abrupt", [True, False])
 def test_a_client_that_leaves_a_connection_that_is_not_read_is_noticed(
     most_open: int, abrupt: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # What it has asked for would be sent to servers, and what waits behind that, too.
-    monkeypatch.setattr("rushroad.proxy.client_connection.MOST_OPEN", most_open)
+    monkeypatch.setattr("rushroad.proxy.client_connection.MAX_UNANSWERED", most_open)
 
     async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         _, writer = await connect()
@@ -436,7 +437,7 @@
         else:
             writer.close()
         assert {await heard.left.get() for _ in range(most_open)} == set(range(1, most_open + 1))
-        while clients.connections:
+        while clients.connections.open:
             await asyncio.sleep(0)
         assert heard.calls.empty()
 
@@ -449,7 +450,7 @@
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(call(1) + call(2))
         first, second = await heard.calls.get(), await heard.calls.get()
-        first.served(b"x" * (64 << 20))  # more than the sockets' buffers hold
+        first.succeed(b"x" * (64 << 20))  # more than the sockets' buffers hold
         assert not second.connection.transport.is_reading()
         writer.write_eof()
         assert await heard.left.get() == 2
@@ -469,7 +470,7 @@
         else:
             await sleep(span)
 
-    monkeypatch.setattr("rushroad.proxy.client_connection.asyncio.sleep", noted)
+    monkeypatch.setattr("rushroad.proxy.client_listener.asyncio.sleep", noted)
 
 
 async def hear(end: socket.socket, answer: bytes) -> None:
@@ -526,13 +527,13 @@
         writer.write(call(1))
         got = await heard.calls.get()
         stopping = asyncio.create_task(clients.stop(0.0, 5.0))
-        while not clients.closing:
+        while not clients.connections.shutting_down:
             await asyncio.sleep(0)
         writer.write(call(2) + call(3)[:-5])
         writer.write(call(3)[-5:])
-        while len(got.connection.queue) < 3:
+        while len(got.connection.unanswered) < 3:
             await asyncio.sleep(0)
-        got.served(b"x")
+        got.succeed(b"x")
         writer.write(call(4))  # crosses the end
         assert await reader.read() == b"$1\r\nx\r\n-BUSY\r\n-BUSY\r\n"
         assert heard.calls.empty()
@@ -557,19 +558,19 @@
 
 def test_one_that_reads_all_its_answers_late_and_never_closes_is_cut(monkeypatch: pytest.MonkeyPatch) -> None:
     # Else it would keep its descriptor for good, and never be the one that makes room.
-    monkeypatch.setattr("rushroad.proxy.client_connection.SWEEP", 0.01)
+    monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL", 0.01)
 
     async def scenario(heard: Heard, clients: ClientListener, connect: Callable[[], Awaitable[Ends]]) -> None:
         reader, writer = await connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(call(1) + b"nonsense")
-        (await heard.calls.get()).served(b"x" * (16 << 20))  # more than the sockets' buffers hold
-        (connection,) = clients.connections
+        (await heard.calls.get()).succeed(b"x" * (16 << 20))  # more than the sockets' buffers hold
+        (connection,) = clients.connections.open
         assert connection.ended_at is not None and connection.transport.get_write_buffer_size()
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         assert (await reader.read()).endswith(b"unexpected type\r\n")
-        monkeypatch.setattr("rushroad.proxy.client_connection.PATIENCE", 0.0)
-        while clients.connections:
+        monkeypatch.setattr("rushroad.proxy.connection_table.CLIENT_TIMEOUT", 0.0)
+        while clients.connections.open:
             await asyncio.sleep(0)
 
     play(scenario)
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -33,12 +33,12 @@
     UpdateKind,
 )
 from rushroad.proxy import engine as gateway
-from rushroad.proxy.client_connection import ClientListener
+from rushroad.proxy.client_listener import ClientListener
 from rushroad.proxy.engine import Clock, Engine
 from rushroad.proxy.upstream import Upstream
 from tests.proxy.test_upstream import LONG, OK, at
 from tests.support.gateway_driver import SETTINGS
-from tests.support.loopback import LOCAL, TERMS, Late, Peer, call, resp, run
+from tests.support.loopback import LOCAL, SCHEMA, Late, Peer, call, resp, run
 
 Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 Script = Callable[[Event], Iterator[Action]]
@@ -90,7 +90,7 @@
             servers = engine.backend = Upstream(engine, SETTINGS, 15_000_000, 8, loop)
             servers.update_endpoints(at(peer.port), True)
             engine.counter = Counts(engine)
-            clients = ClientListener(engine, TERMS, 8, loop)
+            clients = ClientListener(engine, SCHEMA, 8, loop)
             await clients.listen(LOCAL, 0)
             await scenario(engine, peer, await asyncio.open_connection(LOCAL, clients.port))
             servers.close()
@@ -276,7 +276,7 @@
     async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
         ends[1].write(call(1) + call(2))
         await peer.hear()
-        engine.give_up()
+        engine.answer_all()
         assert await ends[0].readline() == b"-ERR failed\r\n"  # it may have run
         assert await ends[0].readline() == b"-BUSY\r\n"  # it was never sent
 
@@ -287,9 +287,9 @@
     """A call whose client has left: an answer to it is an error."""
 
     id = b"1"
-    class_index = plan = tenant = first = 0
-    units, patience, spread, retry = 1.0, 1_000, 1, False
-    arrived = time.monotonic()
+    class_index = plan_index = tenant = first_entry = 0
+    units, time_remaining_ms, entry_points, is_retry = 1.0, 1_000, 1, False
+    arrived_at = time.monotonic()
 
 
 def test_news_goes_before_requests_that_were_queued_earlier(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -27,10 +27,10 @@
     def __init__(self, size: int = 10, class_index: int = IDEMPOTENT) -> None:
         self.size, self.class_index = size, class_index
 
-    def has_left(self) -> bool:
+    def poll_disconnect(self) -> bool:
         return False
 
-    def command(self, wait: int) -> bytes:
+    def forwarded_command(self, time_remaining: int) -> bytes:
         return resp(b"CALL.GET", b"x" * self.size)
 
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -8,13 +8,13 @@
 
 from rushroad.policy.events import Result
 from rushroad.policy.settings_reader import Names
-from rushroad.proxy.client_connection import Terms
+from rushroad.proxy.client_command import CommandSchema
 from rushroad.proxy.engine import Attempt, Clock
 from rushroad.proxy.resp import pack
 
 LOCAL = "127.0.0.1"
 NAMES = Names({"lookup": 0, "order": 1}, {"basic": 0}, {"box": 1}, {"room": 0}, idle=15_000_000)
-TERMS = Terms({b"lookup": 0, b"order": 1}, (False, True), {b"basic": 0}, most_units=4.0, gateways=3)
+SCHEMA = CommandSchema({b"lookup": 0, b"order": 1}, (False, True), {b"basic": 0}, max_units=4.0, fleet_size=3)
 TENANT = b"00000000000000ab"
 
 
@@ -112,9 +112,9 @@
     def client_disconnected(self, request: int) -> None:
         self.left.put_nowait(request)
 
-    def give_up(self) -> None:
+    def answer_all(self) -> None:
         for call in self.unanswered:
-            call.failed()
+            call.fail()
 
 
 class Late:
