--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -1,4 +1,4 @@
-"""Drives the decision module: events in, `Gateway.handle`, actions out. Clock, ids and timers; no sockets."""
+"""Drives the policy: events in, `Gateway.handle`, actions out. Has the clock, ids and timers; no sockets."""
 
 from __future__ import annotations
 
@@ -7,8 +7,7 @@
 import time
 import traceback
 from collections import deque
-from dataclasses import dataclass, field
-from typing import Protocol
+from typing import Protocol, TypeAlias
 
 from rushroad.policy.actions import (
     Action,
@@ -31,104 +30,40 @@
 )
 from rushroad.policy.gateway import Gateway
 from rushroad.policy.settings import Settings
+from rushroad.proxy.clock import Clock
+from rushroad.proxy.in_flight import Attempt, Call, InFlightRequest
 from rushroad.proxy.nonblocking_log import log
 
-WAY = 10_000  # microseconds of a client's patience kept back for the way there and back and for loop lag
-LATE = 30_000  # microseconds past the deadline told to the module at which the answer is given without it
+__all__ = ["Attempt", "Backend", "Counter", "Engine"]
 
+NETWORK_ALLOWANCE = 10_000  # microseconds of a client's time kept back for the network and for loop lag
+DEADLINE_GRACE = 30_000  # microseconds after the policy's deadline in which the policy may still answer
 
-class Call(Protocol):
-    """A client's request, as the engine sees it."""
-
-    id: bytes
-    arrived_at: float  # when its last byte arrived; seconds of the monotonic clock, which the loop's is
-    class_index: int
-    plan_index: int
-    tenant: int
-    units: float
-    time_remaining_ms: int  # until its client gives up, from when it sent the call
-    entry_points: int
-    first_entry: int
-    is_retry: bool
-
-    def poll_disconnect(self) -> bool:
-        """Return whether its client has closed; the engine is then told of all requests on the connection."""
-
-    def forwarded_command(self, time_remaining: int) -> bytes:
-        """Return the command for a rate server; `time_remaining`, in microseconds, replaces the client's."""
-
-    def succeed(self, value: bytes) -> None:
-        """Answer with a rate server's value."""
-
-    def reject(self, retry_after: int) -> None:
-        """Answer that it is rejected; a client may retry after so many microseconds, where this is not 0."""
-
-    def fail(self) -> None:
-        """Answer that it failed."""
+AttemptKey: TypeAlias = tuple[int, int]  # id of the request, number of the attempt
 
 
 class Backend(Protocol):
     """Where attempts go."""
 
     def start(self, attempt: Attempt, timeout: int) -> None:
-        """Start an attempt; exactly one `Engine.attempt_finished` follows."""
+        """Start an attempt; exactly one `Engine.attempt_finished` follows. `timeout` is in microseconds."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up."""
+        """Stop waiting for an attempt."""
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Its request is over: end it as not sent, unless it has been written."""
+        """End an attempt as not forwarded, unless it has been written: its request is finished."""
 
 
 class Counter(Protocol):
-    """Where counts go."""
+    """Where additions to the shared counter go."""
 
     def add(self, name: int, amount: float, lifetime: int) -> None:
-        """Add; exactly one `Counted` event follows."""
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    """One sending of a request to a server."""
-
-    request_id: int
-    number: int
-    endpoint: str
-    in_flight: InFlightRequest
-    started_at: int
-    finished: bool = False
-
-    @property
-    def call(self) -> Call:
-        """The client's request."""
-        return self.in_flight.call
-
-
-@dataclass(slots=True, eq=False)
-class InFlightRequest:
-    """A request that is owed its final answer."""
-
-    call: Call
-    until: int  # when the client gives up, as told to the module
-    deadline: asyncio.TimerHandle
-    attempts: int = 0
-    out: int = 0  # attempts that have not ended
-    over: bool = False  # answered or left, but the module has not been told yet
-
-
-@dataclass(slots=True)
-class Clock:
-    """Microseconds: Unix time at the start, and from there monotonic, so that all gateways share windows."""
-
-    base: int = field(default_factory=lambda: time.time_ns() - time.monotonic_ns())
-
-    def now(self) -> int:
-        """The time now."""
-        return (self.base + time.monotonic_ns()) // 1_000
+        """Add; exactly one `CounterReply` event follows. `lifetime` is in microseconds."""
 
 
 class Engine:
-    """One gateway's decisions, and who is owed what."""
+    """Carries out one gateway's decisions, and sees that each request gets exactly one answer in time."""
 
     def __init__(self, settings: Settings, seed: int, loop: asyncio.AbstractEventLoop) -> None:
         self.clock = Clock()
@@ -136,47 +71,48 @@
         self.counter: Counter
         self._settings = settings
         self._loop = loop
-        self._module = Gateway(settings, seed, self.clock.now())
-        self._ids = itertools.count(1)
-        self._open: dict[int, InFlightRequest] = {}
-        self._taken: set[bytes] = set()  # ids of requests that are open, or have attempts out
-        self._out: dict[tuple[int, int], Attempt] = {}
-        self._news: deque[Event] = deque()
+        self._policy = Gateway(settings, seed, self.clock.now())
+        self._request_ids = itertools.count(1)
+        self._requests: dict[int, InFlightRequest] = {}  # by id, until the policy knows of their end
+        self._attempts: dict[AttemptKey, Attempt] = {}  # those in flight
+        self._call_ids: set[bytes] = set()  # of requests without an answer, or with attempts in flight
+        self._endpoint_updates: deque[EndpointUpdate] = deque()
         self._events: deque[Event] = deque()
-        self._scheduled = False
+        self._scheduled = False  # a turn of the loop that processes them
 
-    # --- what the sockets tell --------------------------------------------------------------------------
+    # --- called by the sockets' side ----------------------------------------------------------------------
 
     def submit(self, call: Call) -> int:
-        """Take a request; returns its number, or 0 where its id is in flight; then it is not taken."""
-        if call.id in self._taken:
+        """Take a request and return its id; 0 where it is not taken, as one with its call id is in flight."""
+        if call.id in self._call_ids:
             return 0
-        self._taken.add(call.id)
-        request = next(self._ids)
-        # Nobody waits for longer than the class's deadline, whatever a client says.
-        patience = min(
-            call.time_remaining_ms * 1_000, self._settings.request_classes[call.class_index].deadline
-        )
+        self._call_ids.add(call.id)
+        request_id = next(self._request_ids)
+        # A client does not wait longer than the deadline of the class, whatever it says.
+        class_deadline = self._settings.request_classes[call.class_index].deadline
+        timeout = min(call.time_remaining_ms * 1_000, class_deadline)
         waited = max(0, int((time.monotonic() - call.arrived_at) * 1e6))
-        left = max(0, patience - WAY - waited)
-        deadline = self._loop.call_later((left + LATE) / 1e6, self._outlived, request)
-        self._open[request] = InFlightRequest(call, self.clock.now() + left, deadline)
-        extras = (call.units, left, call.entry_points, call.first_entry, call.is_retry)
-        self.post(Request(request, call.class_index, call.plan_index, call.tenant, *extras))
-        return request
-
-    def client_disconnected(self, request: int) -> None:
-        """The client has left."""
-        if self._close(request) is not None:
-            self.post(ClientDisconnected(request))
-
-    def endpoints_updated(self, members: EndpointUpdate) -> None:
-        """The list of servers has changed. It goes before all that is queued: sends rely on it."""
-        self._news.append(members)
+        time_remaining = max(0, timeout - NETWORK_ALLOWANCE - waited)
+        timer = self._loop.call_later(
+            (time_remaining + DEADLINE_GRACE) / 1e6, self._deadline_passed, request_id
+        )
+        self._requests[request_id] = InFlightRequest(call, self.clock.now() + time_remaining, timer)
+        extras = (call.units, time_remaining, call.entry_points, call.first_entry, call.is_retry)
+        self.post(Request(request_id, call.class_index, call.plan_index, call.tenant, *extras))
+        return request_id
+
+    def client_disconnected(self, request_id: int) -> None:
+        """End a request without an answer: its client has closed."""
+        if self._finish(request_id) is not None:
+            self.post(ClientDisconnected(request_id))
+
+    def endpoints_updated(self, update: EndpointUpdate) -> None:
+        """Queue an update of the endpoint list, before all other events: attempts rely on it."""
+        self._endpoint_updates.append(update)
         self._schedule()
 
     def post(self, event: Event) -> None:
-        """Queue an event; the queue is worked off when all sockets that are ready have been read."""
+        """Queue an event; the queue is processed after all sockets that are ready have been read."""
         self._events.append(event)
         self._schedule()
 
@@ -188,148 +124,163 @@
         load: tuple[float, ...] = (),
         true_units: float | None = None,
     ) -> None:
-        """An attempt has ended. The first good answer goes to the client, and its true units count."""
+        """Take an attempt's outcome; the first response goes to the client, and its actual units count."""
         if attempt.finished:
             return
         attempt.finished = True
-        self._out.pop((attempt.request_id, attempt.number), None)
-        attempt.in_flight.out -= 1
-        first_good = False
-        if result is Result.OK and (closed := self._close(attempt.request_id)) is not None:
-            first_good = True
-            closed.call.succeed(value)
-        self._forget_id(attempt.in_flight)
+        self._attempts.pop((attempt.request_id, attempt.number), None)
+        attempt.in_flight.attempts_in_flight -= 1
+        first_response = False
+        if result is Result.OK and (request := self._finish(attempt.request_id)) is not None:
+            first_response = True
+            request.call.succeed(value)
+        self._release_call_id(attempt.in_flight)
         elapsed = self.clock.now() - attempt.started_at
-        final = attempt.in_flight.over
-        units = true_units if first_good else None
+        final = attempt.in_flight.finished
+        units = true_units if first_response else None
         ids = (attempt.request_id, attempt.number, attempt.endpoint)
         self.post(AttemptOutcome(*ids, result, elapsed, final, actual_units=units, load_report=load))
 
-    # --- events and actions -----------------------------------------------------------------------------
+    def answer_all(self) -> None:
+        """Answer all requests in flight now, as the process ends: rejected where nothing was forwarded."""
+        for request_id, request in list(self._requests.items()):
+            if request.attempts_started:
+                self._fail(request_id)
+            elif self._finish(request_id) is not None:
+                request.call.reject(0)
+                self.post(ClientDisconnected(request_id))
+
+    # --- events -------------------------------------------------------------------------------------------
 
     def _schedule(self) -> None:
         if not self._scheduled:
             self._scheduled = True
-            self._loop.call_soon(self._work)
+            self._loop.call_soon(self._process_events)
 
-    def _work(self) -> None:
-        """Hand the queued events to the module. What it adds to the queue meanwhile has the next turn."""
+    def _process_events(self) -> None:
+        """Process what is queued now. Events that this adds are processed in the loop's next turn."""
         self._scheduled = False
-        for queue in (self._news, self._events):
+        for queue in (self._endpoint_updates, self._events):
             for _ in range(len(queue)):
-                event = queue.popleft()
-                try:
-                    actions = self._module.handle(self.clock.now(), event)
-                except Exception:  # one request's trouble must not end the process
-                    log(traceback.format_exc())
-                    self._give_up(event)
-                    actions = []
-                for action in actions:
-                    self._try_to(action)
-                if isinstance(event, ClientDisconnected) or (
-                    isinstance(event, AttemptOutcome) and event.final
-                ):
-                    self._open.pop(event.request_id, None)
-
-    def _try_to(self, action: Action) -> None:
-        """Carry an action out. Where that goes wrong the request that it was for gets an answer."""
-        try:
-            self._act(action)
-        except Exception:
-            log(traceback.format_exc())
-            if isinstance(action, StartAttempt | Reject | Fail | CancelAttempt):
-                self._fail(action.request_id)
+                self._process(queue.popleft())
 
-    def _give_up(self, event: Event) -> None:
-        """The handling of an event went wrong: the request that it was about gets an answer."""
+    def _process(self, event: Event) -> None:
+        try:
+            actions = self._policy.handle(self.clock.now(), event)
+        except Exception:  # noqa: BLE001 - one request's error must not end the process
+            log(f"the policy failed on {type(event).__name__}; its request fails: {traceback.format_exc()}")
+            self._fail_request_of(event)
+            actions = []
+        for action in actions:
+            self._carry_out(action)
+        if isinstance(event, ClientDisconnected) or (isinstance(event, AttemptOutcome) and event.final):
+            self._requests.pop(event.request_id, None)
+
+    def _fail_request_of(self, event: Event) -> None:
         if isinstance(event, Request):
             self._fail(event.id)
         elif isinstance(event, AttemptOutcome):
             self._fail(event.request_id)
 
-    def _fail(self, request: int) -> None:
-        closed = self._close(request)
-        if closed is not None:
-            closed.call.fail()
-            self.post(ClientDisconnected(request))
+    # --- actions ------------------------------------------------------------------------------------------
+
+    def _carry_out(self, action: Action) -> None:
+        """Carry an action out; after an error the request that it was for gets an answer."""
+        try:
+            self._dispatch(action)
+        except Exception:  # noqa: BLE001 - one request's error must not end the process
+            log(f"{type(action).__name__} can't be carried out; its request fails: {traceback.format_exc()}")
+            if isinstance(action, StartAttempt | Reject | Fail | CancelAttempt):
+                self._fail(action.request_id)
 
-    def _act(self, action: Action) -> None:
+    def _dispatch(self, action: Action) -> None:
         match action:
             case StartAttempt():
-                self._send(action)
+                self._start_attempt(action)
             case CounterAdd():
                 self.counter.add(action.name, action.amount, action.lifetime)
             case SetTimer():
                 self._loop.call_later(action.delay / 1e6, self.post, TimerFired(action.token))
             case Reject():
-                if (closed := self._close(action.request_id)) is not None:
-                    closed.call.reject(action.retry_after if self._settings.limits.retry_after else 0)
-                self._open.pop(action.request_id, None)
+                self._answer_rejected(action)
             case Fail():
-                if (closed := self._close(action.request_id)) is not None:
-                    closed.call.fail()
-                self._open.pop(action.request_id, None)
+                self._answer_failed(action)
             case CancelAttempt():
-                attempt = self._out.get((action.request_id, action.attempt))
-                if attempt is not None:
-                    self.backend.cancel(attempt)
+                self._cancel_attempt(action)
             case WatchEndpoints():
                 pass  # discovery is watched from the start, and for good
             case _:
-                raise NotImplementedError(f"no code for the action {action}")
-
-    def _send(self, action: StartAttempt) -> None:
-        held = self._open[action.request_id]
-        number = held.attempts
-        held.attempts += 1
-        # Between the close and its reading lie a turn of the loop, and more where the client is not read.
-        if held.over or held.call.poll_disconnect() or number >= self._settings.limits.max_attempts:
-            moot = AttemptOutcome(
-                action.request_id, number, action.endpoint, Result.NOT_FORWARDED, 0, held.over
-            )
-            self.post(moot)
+                raise NotImplementedError(f"the engine can't carry out the action {action}")
+
+    def _start_attempt(self, action: StartAttempt) -> None:
+        request = self._requests[action.request_id]
+        number = request.attempts_started
+        request.attempts_started += 1
+        # The client may have closed: that is read a turn of the loop later, or more while reading is paused.
+        if request.finished or request.call.poll_disconnect() or number >= self._settings.limits.max_attempts:
+            ids = (action.request_id, number, action.endpoint)
+            self.post(AttemptOutcome(*ids, Result.NOT_FORWARDED, 0, request.finished))
             return
         now = self.clock.now()
-        left = max(0, held.until - now)
-        attempt = Attempt(action.request_id, number, action.endpoint, held, now)
-        held.out += 1
-        self._out[(attempt.request_id, attempt.number)] = attempt
-        self.backend.start(attempt, min(action.timeout or left, left))  # 0: until the client gives up
-
-    def _close(self, request: int) -> InFlightRequest | None:
-        """The request's one answer is due now, unless it has had it."""
-        held = self._open.get(request)
-        if held is None or held.over:
+        time_remaining = max(0, request.expires_at - now)
+        attempt = Attempt(action.request_id, number, action.endpoint, request, now)
+        request.attempts_in_flight += 1
+        self._attempts[(attempt.request_id, attempt.number)] = attempt
+        # A time-out of 0 means until the client gives up.
+        self.backend.start(attempt, min(action.timeout or time_remaining, time_remaining))
+
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        attempt = self._attempts.get((action.request_id, action.attempt))
+        if attempt is not None:
+            self.backend.cancel(attempt)
+
+    def _answer_rejected(self, action: Reject) -> None:
+        if (request := self._finish(action.request_id)) is not None:
+            request.call.reject(action.retry_after if self._settings.limits.retry_after else 0)
+        self._requests.pop(action.request_id, None)
+
+    def _answer_failed(self, action: Fail) -> None:
+        if (request := self._finish(action.request_id)) is not None:
+            request.call.fail()
+        self._requests.pop(action.request_id, None)
+
+    # --- the end of a request -----------------------------------------------------------------------------
+
+    def _finish(self, request_id: int) -> InFlightRequest | None:
+        """End a request and return it, as its answer is due now; None where it has ended before."""
+        request = self._requests.get(request_id)
+        if request is None or request.finished:
             return None
-        held.over = True
-        held.deadline.cancel()
-        if held.out:  # one that still waits for its connection would be work for nobody
-            for number in range(held.attempts):
-                if (attempt := self._out.get((request, number))) is not None:
+        request.finished = True
+        request.deadline_timer.cancel()
+        if request.attempts_in_flight:  # one that waits for its connection would be executed for nobody
+            for number in range(request.attempts_started):
+                if (attempt := self._attempts.get((request_id, number))) is not None:
                     self.backend.withdraw(attempt)
-        self._forget_id(held)
-        return held
+        self._release_call_id(request)
+        return request
 
-    def answer_all(self) -> None:
-        """The end of the process: all that is open gets its answer now; a refusal where nothing was sent."""
-        for request, held in list(self._open.items()):
-            if held.attempts:
-                self._fail(request)
-            elif (closed := self._close(request)) is not None:
-                closed.call.reject(0)
-                self.post(ClientDisconnected(request))
-
-    def _forget_id(self, held: InFlightRequest) -> None:
-        """Guards rule 2: an id stays taken while an attempt is out, also after the answer."""
-        if held.over and not held.out:
-            self._taken.discard(held.call.id)
-
-    def _outlived(self, request: int) -> None:
-        """Guards the one answer in time, whatever the module does; what it is about to be told goes first."""
-        self._loop.call_soon(self._answer_forgotten, request)
-
-    def _answer_forgotten(self, request: int) -> None:
-        held = self._open.get(request)
-        if held is not None and not held.over:
-            log("the module let a request's time run out")
-            self._fail(request)
+    def _fail(self, request_id: int) -> None:
+        """Answer a request as failed, unless it has ended, and tell the policy that it is over."""
+        request = self._finish(request_id)
+        if request is not None:
+            request.call.fail()
+            self.post(ClientDisconnected(request_id))
+
+    def _release_call_id(self, request: InFlightRequest) -> None:
+        """Let the call id be used again, once the request is finished and no attempt is in flight.
+
+        Until then an endpoint would take another request with the same id for a duplicate of this one.
+        """
+        if request.finished and not request.attempts_in_flight:
+            self._call_ids.discard(request.call.id)
+
+    def _deadline_passed(self, request_id: int) -> None:
+        # Events that are queued may still bring the answer; they are processed before this callback.
+        self._loop.call_soon(self._fail_unanswered, request_id)
+
+    def _fail_unanswered(self, request_id: int) -> None:
+        request = self._requests.get(request_id)
+        if request is not None and not request.finished:
+            log(f"the policy let the time of request {request_id} run out; the request fails")
+            self._fail(request_id)
--- a/tests/integration/test_actual_units.py
+++ b/tests/integration/test_actual_units.py
@@ -8,7 +8,8 @@
 import pytest
 
 from rushroad.bench.gateway_processes import settings
-from rushroad.proxy.engine import Attempt, Engine
+from rushroad.proxy.engine import Engine
+from rushroad.proxy.in_flight import Attempt
 from rushroad.proxy.upstream import Upstream
 from tests.proxy.test_upstream import FAST, LONG, at, held
 from tests.support.gateway_cluster import World, call
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -34,7 +34,9 @@
 )
 from rushroad.proxy import engine as gateway
 from rushroad.proxy.client_listener import ClientListener
-from rushroad.proxy.engine import Clock, Engine
+from rushroad.proxy.clock import Clock
+from rushroad.proxy.engine import Engine
+from rushroad.proxy.in_flight import Call
 from rushroad.proxy.upstream import Upstream
 from tests.proxy.test_upstream import LONG, OK, at
 from tests.support.gateway_driver import SETTINGS
@@ -178,7 +180,7 @@
         assert await ends[0].readline() == b"-ERR failed\r\n"
 
     assert ClientDisconnected(1) in play(monkeypatch, script, scenario)
-    assert "time run out" in capfd.readouterr().err
+    assert "let the time of request 1 run out" in capfd.readouterr().err
 
 
 def test_a_request_without_time_left_is_answered_by_the_module_and_not_by_its_guard(
@@ -187,7 +189,7 @@
     # It waited unread for all of its time: the guard's timer is due before the module is told of it.
     clocks = SimpleNamespace(monotonic=lambda: 1e12, time_ns=time.time_ns, monotonic_ns=time.monotonic_ns)
     monkeypatch.setattr(gateway, "time", clocks)
-    monkeypatch.setattr(gateway, "LATE", 0)
+    monkeypatch.setattr(gateway, "DEADLINE_GRACE", 0)
 
     def script(event: Event) -> Iterator[Action]:
         if isinstance(event, Request):
@@ -224,7 +226,7 @@
         yield from send_it(event)
 
     async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        stub = typing.cast(gateway.Call, Gone())
+        stub = typing.cast(Call, Gone())
         engine.client_disconnected(engine.submit(stub))  # before the module's turn
         await done.wait()
         assert peer.came.empty()
@@ -302,7 +304,7 @@
         return iter(())
 
     async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        engine.submit(typing.cast(gateway.Call, Gone()))
+        engine.submit(typing.cast(Call, Gone()))
         engine.endpoints_updated(news)
         await told.wait()
 
@@ -390,4 +392,4 @@
 
     request = play(monkeypatch, send_it, scenario)[0]
     assert isinstance(request, Request)
-    assert request.time_remaining == SETTINGS.request_classes[0].deadline - gateway.WAY
+    assert request.time_remaining == SETTINGS.request_classes[0].deadline - gateway.NETWORK_ALLOWANCE
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -11,7 +11,8 @@
 
 from rushroad.policy.events import Endpoint, EndpointState, Result
 from rushroad.policy.settings import Limits
-from rushroad.proxy.engine import Attempt, Engine
+from rushroad.proxy.engine import Engine
+from rushroad.proxy.in_flight import Attempt
 from rushroad.proxy.upstream import Ages, Upstream
 from tests.support.gateway_driver import IDEMPOTENT, NOT_IDEMPOTENT, SETTINGS
 from tests.support.loopback import LOCAL, Heard, Late, Peer, resp, run
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -9,7 +9,8 @@
 from rushroad.policy.events import Result
 from rushroad.policy.settings_reader import Names
 from rushroad.proxy.client_command import CommandSchema
-from rushroad.proxy.engine import Attempt, Clock
+from rushroad.proxy.clock import Clock
+from rushroad.proxy.in_flight import Attempt
 from rushroad.proxy.resp import pack
 
 LOCAL = "127.0.0.1"
