--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -19,7 +19,8 @@
 from rushroad.policy.events import EndpointUpdate, UpdateKind
 from rushroad.policy.settings_reader import ProxySettings, read_proxy_settings, read_settings
 from rushroad.proxy.address import read_address
-from rushroad.proxy.client_connection import ClientListener, Terms
+from rushroad.proxy.client_command import CommandSchema
+from rushroad.proxy.client_listener import ClientListener
 from rushroad.proxy.counter_client import CounterClient
 from rushroad.proxy.discovery import Discovery, UpdateHandler
 from rushroad.proxy.endpoint_decoder import (
@@ -149,7 +150,7 @@
     if settings.counter is not None:
         counter = CounterClient(read_address(config["counter"]), settings.counter.timeout, engine.post, loop)
         engine.counter = counter
-    clients = ClientListener(engine, Terms.of(settings, names), sockets - most, loop)
+    clients = ClientListener(engine, CommandSchema.from_settings(settings, names), sockets - most, loop)
 
     freezer = Freezer(loop)
 
