--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -15,10 +15,11 @@
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, Result, UpdateKind
 from rushroad.proxy import discovery as module
 from rushroad.proxy import endpoint_decoder
-from rushroad.proxy.__main__ import FREEZE, PIECE, Freezer, read_config
+from rushroad.proxy.configuration import READ_BYTES, read_document
 from rushroad.proxy.discovery import Discovery
 from rushroad.proxy.endpoint_decoder import MAX_ENDPOINTS_PER_PART, ListedEndpoint
 from rushroad.proxy.engine import Attempt, Engine
+from rushroad.proxy.garbage_collection import FREEZE_AFTER, EndpointFreezer
 from rushroad.proxy.json_splitter import RUN_BYTES, JsonRun, JsonSplitter
 from rushroad.proxy.nonblocking_log import NonBlockingLog
 from rushroad.proxy.upstream import Connection, Upstream
@@ -442,9 +443,9 @@
 
 def test_what_is_held_of_the_servers_is_left_out_of_collections(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        freezer = Freezer(asyncio.get_running_loop())
-        for _ in range(3 * FREEZE // MAX_ENDPOINTS_PER_PART):
-            freezer.note(MAX_ENDPOINTS_PER_PART)
+        freezer = EndpointFreezer(asyncio.get_running_loop())
+        for _ in range(3 * FREEZE_AFTER // MAX_ENDPOINTS_PER_PART):
+            freezer.entries_added(MAX_ENDPOINTS_PER_PART)
             await asyncio.sleep(0)
 
     frozen: list[None] = []
@@ -461,7 +462,7 @@
     turns: list[int] = []
 
     async def scenario() -> None:
-        task = asyncio.create_task(read_config())
+        task = asyncio.create_task(read_document())
         while not task.done():
             turns.append(1)
             await asyncio.sleep(0)
@@ -470,7 +471,7 @@
     monkeypatch.setenv("EDGE_CONFIG", str(tmp_path / "config.json"))
     (tmp_path / "config.json").write_text(text)
     run(scenario)
-    assert len(turns) >= len(text) // PIECE
+    assert len(turns) >= len(text) // READ_BYTES
     (tmp_path / "config.json").write_text(text + "{}")
     with pytest.raises(ValueError, match="one whole JSON object"):
         run(scenario)
