--- a/rushroad/bench/simulated_experiments.py
+++ b/rushroad/bench/simulated_experiments.py
@@ -15,6 +15,7 @@
 
 import click
 import xxhash
+from msgspec import structs
 
 from rushroad.bench.report import Cell, Run, fit
 from rushroad.bench.simulated_fleet import (
@@ -33,7 +34,7 @@
 from rushroad.policy.actions import SetTimer
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, TimerFired, UpdateKind
 from rushroad.policy.gateway import Gateway
-from rushroad.policy.subsetting import holders, sharers
+from rushroad.policy.subsetting import mean_replicas, replicas_of
 
 SIZES_COST = "3/40,200/40,30/200,200/200,100/2000,400/8000,4900/97000"
 SIZES_SPREAD = "10/40,30/12,200/200,400/2000,1000/20000,4900/97000"
@@ -122,9 +123,9 @@
     gateway, lines = fleet.gateways[0], list(fleet.listed.values())[:DELTA]
     began = gateway.cpu
     for line in lines:
-        gateway.tell([replace(line, started_at=fleet.now)])
+        gateway.tell([structs.replace(line, started_at=fleet.now)])
     alone = gateway.cpu - began
-    gateway.tell([replace(line, started_at=fleet.now + 1) for line in lines])
+    gateway.tell([structs.replace(line, started_at=fleet.now + 1) for line in lines])
     together = gateway.cpu - began - alone
     return {"us_change": alone / 1e3 / len(lines), "us_change_in_100": together / 1e3 / len(lines)}
 
@@ -171,10 +172,10 @@
 
 def holders_of(size: Size) -> Holders:
     """The gateways that may send to a server, by its name, in a fleet of this size."""
-    share = sharers(size.gateways, size.servers)
+    share = mean_replicas(size.gateways, size.servers)
     if share >= size.gateways:
         return lambda name: range(size.gateways)
-    return lambda name: holders(name, size.gateways, share)
+    return lambda name: replicas_of(name, size.gateways, share)
 
 
 def subsets(gateways: int, names: Sequence[str]) -> list[set[str]]:
@@ -232,8 +233,8 @@
 
     The servers that stay are the same: only members that come or go with the share count. 0: there is none.
     """
-    share, servers = sharers(size.gateways, size.servers), size.servers - 1
-    while servers > 0 and sharers(size.gateways, servers) == share:
+    share, servers = mean_replicas(size.gateways, size.servers), size.servers - 1
+    while servers > 0 and mean_replicas(size.gateways, servers) == share:
         servers -= 1
     if servers <= 0:
         return {"step_at_servers": 0, "step_members_mean": 0.0}
--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -64,19 +64,24 @@
     terminated = termination_event(loop)
     loop.set_exception_handler(log.handle_loop_exception)
     configuration = await retry_transient(read_configuration)
-    settings, names, memory_limit = configuration.settings, configuration.names, configuration.memory_limit
+    settings, proxy_settings = configuration.settings, configuration.proxy_settings
+    memory_limit = configuration.memory_limit
 
     engine = Engine(settings, configuration.seed, loop)
-    upstream = Upstream(engine, settings, names.idle, configuration.max_upstream_connections, loop)
+    upstream = Upstream(
+        engine, settings, proxy_settings.idle_timeout, configuration.max_upstream_connections, loop
+    )
     engine.backend = upstream
     counter = _connect_counter(configuration, engine, loop)
-    listener = ClientListener(engine, Terms.of(settings, names), configuration.max_client_connections, loop)
+    listener = ClientListener(
+        engine, Terms.of(settings, proxy_settings), configuration.max_client_connections, loop
+    )
 
     apply_update = _update_handler(engine, upstream, loop)
-    version = await retry_transient(lambda: read_cached_endpoints(names, memory_limit, apply_update))
+    version = await retry_transient(lambda: read_cached_endpoints(proxy_settings, memory_limit, apply_update))
     generator = random.Random(configuration.seed)
     discovery = Discovery(
-        configuration.discovery, version, names, apply_update, loop, generator, memory_limit
+        configuration.discovery, version, proxy_settings, apply_update, loop, generator, memory_limit
     )
     reloads = start_reloads(loop, discovery, counter)
     with suppress(TimeoutError):
--- a/rushroad/proxy/configuration.py
+++ b/rushroad/proxy/configuration.py
@@ -10,8 +10,8 @@
 from typing import Any, NamedTuple
 
 from rushroad.policy.events import UpdateKind
-from rushroad.policy.settings import Settings
-from rushroad.policy.settings_reader import Names, read_names, read_settings
+from rushroad.policy.settings import Settings, SettingsError
+from rushroad.policy.settings_reader import ProxySettings, read_proxy_settings, read_settings
 from rushroad.proxy.address import Address, read_address
 from rushroad.proxy.counter_client import CounterClient
 from rushroad.proxy.discovery import Discovery, UpdateHandler
@@ -33,7 +33,7 @@
 
 
 class ConfigurationError(ValueError):
-    """The configuration is missing, not whole, or lacks a key; the message says which."""
+    """The configuration is missing, incomplete or invalid; the message says what is wrong."""
 
 
 class Configuration(NamedTuple):
@@ -47,7 +47,7 @@
     max_upstream_connections: int
     max_client_connections: int
     settings: Settings
-    names: Names
+    proxy_settings: ProxySettings
 
 
 def _read_file() -> Iterator[bytes]:
@@ -63,16 +63,18 @@
 async def read_document() -> dict[str, Any]:
     """Read the file, with an empty endpoint list; each piece has a turn of the event loop.
 
-    Raises ConfigurationError where it is not one whole JSON object, another ValueError where it is malformed,
-    and OSError where it can't be read.
+    Raises ConfigurationError where it is not one whole JSON object, and OSError where it can't be read.
     """
     splitter = JsonSplitter(("known", "instances"))
     documents = []
     for data in _read_file():
         splitter.feed(data)
-        while (run := splitter.next_run()) is not None:
-            if run.ends_document:
-                documents.append(run.document)
+        try:
+            while (run := splitter.next_run()) is not None:
+                if run.ends_document:
+                    documents.append(run.document)
+        except ValueError as error:
+            raise ConfigurationError(f"the configuration is not one whole JSON object: {error}") from error
         await asyncio.sleep(0)
     if len(documents) != 1 or not splitter.is_between_documents():
         raise ConfigurationError("the configuration is not one whole JSON object")
@@ -82,12 +84,13 @@
 async def read_configuration() -> Configuration:
     """Read and check the whole configuration.
 
-    Raises ConfigurationError or SettingsError where a key is missing, ValueError, TypeError or AttributeError
-    where a value is invalid, and OSError where the file can't be read.
+    Raises ConfigurationError or SettingsError where a key is missing or a value is invalid, and OSError where
+    the file can't be read.
     """
     document = await read_document()
     try:
-        settings, names = read_settings(document["settings"]), read_names(document["settings"])
+        settings = read_settings(document["settings"])
+        proxy_settings = read_proxy_settings(document["settings"])
         limits = document["limits"]
         sockets = int(limits["sockets"]) - RESERVED_SOCKETS
         max_upstream_connections = int(sockets * UPSTREAM_SHARE)
@@ -100,18 +103,24 @@
             seed=int(document["seed"], 16),
             counter=read_address(document["counter"]) if settings.counter is not None else None,
             settings=settings,
-            names=names,
+            proxy_settings=proxy_settings,
         )
+    except SettingsError:
+        raise
     except KeyError as missing:
         raise ConfigurationError(f"the configuration lacks the key {missing.args[0]!r}") from None
+    except (ValueError, TypeError, AttributeError) as error:
+        raise ConfigurationError(f"the configuration has an invalid value: {error}") from error
 
 
-async def read_cached_endpoints(names: Names, memory_limit: int, on_update: UpdateHandler) -> int:
+async def read_cached_endpoints(
+    proxy_settings: ProxySettings, memory_limit: int, on_update: UpdateHandler
+) -> int:
     """Pass on the endpoint list as this gateway last had it; return its version.
 
     Where it can't be read, that is 0: discovery then sends a full list. What was read of it stays valid.
     """
-    decoder = EndpointDecoder(names, memory_limit, UpdateKind.CACHED_SNAPSHOT, path=("known",))
+    decoder = EndpointDecoder(proxy_settings, memory_limit, UpdateKind.CACHED_SNAPSHOT, path=("known",))
     version = 0
     try:
         for data in _read_file():
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -1,6 +1,8 @@
 """Settings and a driver for the tests: events by hand, and a referee that holds every action to the rules."""
 
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, field
+
+from msgspec import structs
 
 from rushroad.policy.actions import Action, CancelAttempt, CounterAdd, Fail, Reject, SetTimer, StartAttempt
 from rushroad.policy.events import (
@@ -75,7 +77,7 @@
 
 def line(number: int, **fields: int) -> Endpoint:
     """A ready server."""
-    return replace(Endpoint(f"10.0.0.{number}:80", EndpointState.READY), **fields)  # type: ignore[arg-type]
+    return structs.replace(Endpoint(f"10.0.0.{number}:80", EndpointState.READY), **fields)
 
 
 class Totals:
@@ -192,6 +194,12 @@
             AttemptOutcome(request, number, server, result, self.now - sent, life.over, load_report=load)
         )
 
+    def open_requests(self, tenant_id: int) -> int:
+        """Requests of a tenant with attempts in flight, as the gateway counts them."""
+        tenant = self.gateway.tenants.get(tenant_id)
+        assert tenant is not None
+        return tenant.concurrency.open_requests
+
     def finish(self) -> None:
         """All that is out is answered well."""
         for life in list(self.lives.values()):
