--- a/rushroad/proxy/discovery.py
+++ b/rushroad/proxy/discovery.py
@@ -41,7 +41,7 @@
     def __init__(self, discovery: Discovery) -> None:
         self._discovery = discovery
         self._http = h11.Connection(h11.CLIENT)
-        self._decoder = EndpointDecoder(discovery.names, discovery.memory_limit)
+        self._decoder = EndpointDecoder(discovery.settings, discovery.memory_limit)
         self._received_data = False  # some of the response's body has arrived
         self._processing = False  # parts that have arrived wait for their turns of the loop
         self._response_ended = False
@@ -173,7 +173,7 @@
         self,
         address: Address,
         version: int,
-        names: ProxySettings,
+        settings: ProxySettings,
         on_update: UpdateHandler,
         loop: asyncio.AbstractEventLoop,
         generator: random.Random,
@@ -182,7 +182,7 @@
         """version: of the endpoint list at hand, 0 for none; generator: jitter; memory_limit: bytes."""
         self.loop = loop
         self.version = version
-        self.address, self.names, self.memory_limit = address, names, memory_limit
+        self.address, self.settings, self.memory_limit = address, settings, memory_limit
         self.updated = asyncio.Event()  # a whole list has come since the start
         self._on_update = on_update
         self._backoff = Backoff(FIRST_RECONNECT_PAUSE, MAX_RECONNECT_PAUSE, generator)
