--- a/rushroad/bench/cli.py
+++ b/rushroad/bench/cli.py
@@ -4,17 +4,17 @@
 
 import click
 
-from rushroad.bench.real.experiments import COMMANDS as REAL_COMMANDS
-from rushroad.bench.simulated.experiments import COMMANDS as HOLLOW_COMMANDS
+from rushroad.bench.real.commands import COMMANDS as REAL_COMMANDS
+from rushroad.bench.simulated.commands import COMMANDS as SIMULATED_COMMANDS
 
 
 @click.group()
 @click.version_option(package_name="rushroad")
 def main() -> None:
-    """Measure rushroad's gateways against stand-ins on loopback, and whole fleets of hollow ones."""
+    """Measure rushroad's gateways against stand-ins on loopback, and whole fleets of simulated ones."""
 
 
-for command in (*HOLLOW_COMMANDS, *REAL_COMMANDS):
+for command in (*SIMULATED_COMMANDS, *REAL_COMMANDS):
     main.add_command(command)
 
 
--- /dev/null
+++ b/rushroad/bench/real/rows.py
@@ -0,0 +1,98 @@
+"""The rows of the experiments on real gateways."""
+
+from __future__ import annotations
+
+import msgspec
+from msgspec import UNSET, UnsetType
+
+from rushroad.bench.rows import ConditionRow
+
+
+class CostRow(ConditionRow, frozen=True, kw_only=True):
+    """What requests cost the gateways. Latencies are missing where no request was served."""
+
+    requests: int
+    served: int
+    rejected: int = msgspec.field(name="refused")
+    failed: int
+    lost: int
+    wrong: int
+    tenants_seen: int
+    latency_p50_ms: float | UnsetType = UNSET
+    latency_p99_ms: float | UnsetType = UNSET
+    latency_p999_ms: float | UnsetType = UNSET  # in older records only
+    added_p50_ms: float | UnsetType = UNSET  # latency without the rate server's work
+    added_p99_ms: float | UnsetType = UNSET
+    added_p999_ms: float | UnsetType = UNSET  # in older records only
+    attempts: int
+    late_attempts: int  # to endpoints removed a while before
+    syntax_errors: int = msgspec.field(name="syntax")
+    list_changes: int = msgspec.field(name="changes")
+    connects_request: float
+    counter_calls_request: float = msgspec.field(name="calls_request")
+    counter_bytes_request: float = msgspec.field(name="bytes_request")
+    cpu_us_request: float
+    core_share: float
+    idle_core_share: float  # before the first request
+    ready_s: float
+    peak_mb: float
+
+
+class DemoRow(ConditionRow, frozen=True, kw_only=True):
+    """A demo: outcomes, attempts and latencies."""
+
+    requests: int
+    served: int
+    rejected: int = msgspec.field(name="refused")
+    failed: int
+    lost: int
+    wrong: int
+    attempts: int
+    latency_p50_ms: float | UnsetType = UNSET
+    latency_p99_ms: float | UnsetType = UNSET
+    added_p50_ms: float | UnsetType = UNSET
+    added_p99_ms: float | UnsetType = UNSET
+
+
+class CounterBytesRow(ConditionRow, frozen=True, kw_only=True):
+    """Calls to the counter, and bytes to it and back, for each request."""
+
+    requests: int
+    served: int
+    counter_calls_request: float = msgspec.field(name="calls_request")
+    counter_bytes_request: float = msgspec.field(name="bytes_request")
+
+
+class StartRow(ConditionRow, frozen=True, kw_only=True):
+    """The start of a gateway with its whole endpoint list."""
+
+    ready_s: float
+    serving_s: float | str  # "never" where no request was served in time
+    cpu_s: float
+    peak_mb: float
+
+
+class ChangesRow(ConditionRow, frozen=True, kw_only=True):
+    """The longest stalls: without a change, at one endpoint removed, and at a burst in one message.
+
+    How many of the removed endpoints had had attempts is missing in older records.
+    """
+
+    burst: int  # endpoints removed in one message
+    stall_quiet_ms: float
+    cpu_quiet_s: float
+    used_removed_one: int | UnsetType = msgspec.field(name="used_gone_one", default=UNSET)
+    stall_one_ms: float
+    cpu_one_s: float
+    used_removed_burst: int | UnsetType = msgspec.field(name="used_gone_burst", default=UNSET)
+    stall_burst_ms: float
+    cpu_burst_s: float
+    requests: int
+    served: int
+    rejected: int = msgspec.field(name="refused")
+    failed: int
+    lost: int
+    wrong: int
+    attempts: int
+    late_attempts: int
+    peak_mb: float
--- a/rushroad/bench/report.py
+++ b/rushroad/bench/report.py
@@ -1,4 +1,4 @@
-"""What every experiment hands back: a table for people, and one line of JSON with all that made it."""
+"""What every experiment returns: a table for people, and one line of JSON from which it can be repeated."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 import sys
 from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import Any, TextIO, TypeAlias
+from typing import Any, TextIO
 
 import msgspec
 
-Cell: TypeAlias = float | int | str
+from rushroad.bench.rows import Cell, FitRow, Row
 
-GIT_PATIENCE = 10  # seconds; a call of git on a checkout of any size is far quicker
-DIGITS = 4  # significant digits of a figure in the table; the line of JSON holds all of them
+GIT_TIMEOUT_S = 10
+SIGNIFICANT_DIGITS = 4  # of a figure in the table; the line of JSON holds all of them
 COLUMN_GAP = "  "
 
 
@@ -30,65 +30,90 @@
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Fit:
-    """The line through two or more points (x, y) with at least two different x; else ValueError."""
+    """Fit a line through two or more points (x, y); raises ValueError unless two of their x differ."""
     xs, ys = [x for x, _ in points], [y for _, y in points]
     try:
         slope, intercept = statistics.linear_regression(xs, ys)
-    except statistics.StatisticsError as wrong:
-        raise ValueError(f"no line through these points: {wrong}") from None
-    middle = statistics.fmean(ys)
-    total = sum((y - middle) ** 2 for y in ys)
-    left = sum((y - intercept - slope * x) ** 2 for x, y in points)
-    return Fit(slope, intercept, 1.0 - left / total if total else 1.0)
+    except statistics.StatisticsError as error:
+        raise ValueError(f"no line through these points: {error}") from None
+    mean = statistics.fmean(ys)
+    total = sum((y - mean) ** 2 for y in ys)
+    residual = sum((y - intercept - slope * x) ** 2 for x, y in points)
+    return Fit(slope, intercept, 1.0 - residual / total if total else 1.0)
+
+
+def fit_row(label: str, points: Sequence[tuple[float, float]]) -> FitRow:
+    """The row of the line through these points; raises ValueError as `fit` does."""
+    line = fit(points)
+    return FitRow(fit=label, slope=line.slope, intercept=line.intercept, r2=line.r2)
+
+
+class Machine(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """The machine of a run. `load` is the load average over the minute before it."""
+
+    cores: int | None
+    python: str
+    load: float
+
+
+class Record(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """One run as it is stored: a line of JSON."""
+
+    experiment: str
+    seed: int
+    parameters: dict[str, Any]
+    rows: Sequence[Row]
+    commit: str
+    machine: Machine
 
 
 class Run:
-    """One run of an experiment: rows of named figures, all with what is needed to make them again."""
+    """One run of an experiment: rows of figures, and what is needed to repeat them."""
 
     def __init__(self, experiment: str, seed: int, parameters: dict[str, Any]) -> None:
         self.experiment, self.seed, self.parameters = experiment, seed, parameters
-        self.rows: list[dict[str, Cell]] = []
-        self._machine = machine()  # the load before this run's own
+        self.rows: list[Row] = []
+        self._machine = machine()  # with the load before this run's own
 
-    def add(self, row: dict[str, Cell]) -> None:
+    def add(self, row: Row) -> None:
         """Keep a row; rows of one run may have different columns."""
         self.rows.append(row)
 
     def finish(self, out: TextIO | None) -> None:
         """Print the table to standard output, and write the line of JSON to `out`."""
         print(f"{self.experiment}, seed {self.seed}")
-        print(table(self.rows))
+        print(table([row.columns() for row in self.rows]))
         sys.stdout.flush()
         if out is not None:
             out.write(msgspec.json.encode(self._record()).decode() + "\n")
             out.flush()
 
-    def _record(self) -> dict[str, Any]:
-        return {
-            "experiment": self.experiment,
-            "seed": self.seed,
-            "parameters": self.parameters,
-            "rows": self.rows,
-            "commit": commit(),
-            "machine": self._machine,
-        }
+    def _record(self) -> Record:
+        return Record(
+            experiment=self.experiment,
+            seed=self.seed,
+            parameters=self.parameters,
+            rows=self.rows,
+            commit=commit(),
+            machine=self._machine,
+        )
 
 
 def table(rows: Sequence[dict[str, Cell]]) -> str:
-    """Lines of aligned columns, named by the rows' keys in the order in which they first come."""
+    """Lines of aligned columns, named by the rows' keys in the order in which they first occur."""
     names = list(dict.fromkeys(name for row in rows for name in row))
-    lines = [names] + [[_shown(row.get(name, "")) for name in names] for row in rows]
+    lines = [names] + [[_format_cell(row.get(name, "")) for name in names] for row in rows]
     widths = [max(len(line[column]) for line in lines) for column in range(len(names))]
     return "\n".join(
         COLUMN_GAP.join(cell.rjust(width) for cell, width in zip(line, widths, strict=True)) for line in lines
     )
 
 
-def _shown(cell: Cell) -> str:
+def _format_cell(cell: Cell) -> str:
     if isinstance(cell, str):
         return cell
-    if isinstance(cell, float) and abs(cell) < 10**DIGITS:
-        return f"{cell:.{DIGITS}g}"
+    if isinstance(cell, float) and abs(cell) < 10**SIGNIFICANT_DIGITS:
+        return f"{cell:.{SIGNIFICANT_DIGITS}g}"
     return f"{cell:,.0f}"
 
 
@@ -101,11 +126,13 @@
     return head + "+dirty" if changes else head
 
 
-def _git(*words: str) -> str:
-    done = subprocess.run(("git", *words), capture_output=True, text=True, timeout=GIT_PATIENCE, check=True)
+def _git(*arguments: str) -> str:
+    done = subprocess.run(
+        ("git", *arguments), capture_output=True, text=True, timeout=GIT_TIMEOUT_S, check=True
+    )
     return done.stdout.strip()
 
 
-def machine() -> dict[str, Any]:
+def machine() -> Machine:
     """Cores, Python's version and the load average over the last minute."""
-    return {"cores": os.cpu_count(), "python": platform.python_version(), "load": os.getloadavg()[0]}
+    return Machine(cores=os.cpu_count(), python=platform.python_version(), load=os.getloadavg()[0])
--- /dev/null
+++ b/rushroad/bench/simulated/subsets.py
@@ -0,0 +1,39 @@
+"""The subsets of a whole fleet, by the policy's own rule."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+
+from rushroad.bench.fleet_size import FleetSize
+from rushroad.bench.simulated.rate_server import endpoint_name
+from rushroad.policy import subsetting
+
+GatewaysOfEndpoint = Callable[[str], Sequence[int]]  # indices of the gateways that may send to an endpoint
+
+
+def gateways_per_endpoint(size: FleetSize) -> float:
+    """How many gateways share an endpoint in the mean."""
+    return subsetting.sharers(size.gateways, size.rate_servers)
+
+
+def gateways_of_endpoint(size: FleetSize) -> GatewaysOfEndpoint:
+    """The gateways that may send to an endpoint, by its name, in a fleet of this size."""
+    replicas = gateways_per_endpoint(size)
+    if replicas >= size.gateways:
+        return lambda _name: range(size.gateways)
+    return lambda name: subsetting.holders(name, size.gateways, replicas)
+
+
+def subsets_of_fleet(gateways: int, endpoints: Sequence[str]) -> list[set[str]]:
+    """The endpoints that each gateway may send to, by the gateway's index."""
+    gateways_of = gateways_of_endpoint(FleetSize(gateways, len(endpoints), 0.0))
+    subsets = [set[str]() for _ in range(gateways)]
+    for endpoint in endpoints:
+        for index in gateways_of(endpoint):
+            subsets[index].add(endpoint)
+    return subsets
+
+
+def endpoint_names(count: int) -> list[str]:
+    """The addresses of the first rate servers."""
+    return [endpoint_name(number) for number in range(count)]
--- a/rushroad/bench/stand_ins/__main__.py
+++ b/rushroad/bench/stand_ins/__main__.py
@@ -1,6 +1,6 @@
-"""The stand-ins' process: an order a line on standard input, an answer a line on standard output, as JSON.
+"""The stand-ins' process: commands on standard input, replies on standard output.
 
-The first order tells the sizes; its answer tells the addresses. The process ends when its input does.
+The first command is StartStandIns. The process ends when its input does.
 """
 
 from __future__ import annotations
@@ -9,77 +9,98 @@
 import gc
 import random
 import sys
-from typing import Any
 
 import uvloop
 
-from rushroad.bench.stand_ins.counter import Counter, Mode
+from rushroad.bench.commands import (
+    Done,
+    GetFigures,
+    RemovedEndpoints,
+    RemoveEndpoints,
+    Reply,
+    RollEndpoints,
+    SetCounterMode,
+    SilenceDiscovery,
+    StandInAddresses,
+    StandInCommand,
+    StandInFigures,
+    StartStandIns,
+)
+from rushroad.bench.stand_ins.counter import Counter
 from rushroad.bench.stand_ins.discovery import Discovery
 from rushroad.bench.stand_ins.rate_servers import RateServers
-from rushroad.bench.worker import serve_orders
+from rushroad.bench.worker import serve_commands
 
 
 class StandIns:
-    """Rate servers, discovery and the counter, and the orders for them."""
+    """Rate servers, discovery and the counter, and the commands for them."""
 
-    def __init__(self, order: dict[str, Any]) -> None:
+    def __init__(self, command: StartStandIns) -> None:
         loop = asyncio.get_running_loop()
-        self.servers = RateServers(order["work_s"], order["reports"], loop)
-        self.counter = Counter(order["shards"], loop)
-        self._order = order
+        self._command = command
+        self.rate_servers = RateServers(command.work_s, command.load_reports, loop)
+        self.counter = Counter(command.counter_shards, loop)
         self.discovery: Discovery
 
-    async def start(self) -> dict[str, Any]:
-        """Listen; returns the addresses, and that of rate server 0."""
-        await self.servers.listen()
-        order, loop = self._order, asyncio.get_running_loop()
-        address, gone = self.servers.address, self.servers.told_gone
-        chance = random.Random(order["seed"])
-        self.discovery = Discovery(order["servers"], address, gone, order["indent"], chance, loop)
-        return {
-            "discovery": await self.discovery.listen(),
-            "counter": await self.counter.listen(),
-            "first_server": address(0),
-        }
+    async def start(self) -> StandInAddresses:
+        """Listen; returns the addresses."""
+        await self.rate_servers.listen()
+        command, address = self._command, self.rate_servers.address
+        self.discovery = Discovery(
+            command.rate_servers,
+            address,
+            self.rate_servers.note_removed,
+            command.indent,
+            random.Random(command.seed),
+            asyncio.get_running_loop(),
+        )
+        return StandInAddresses(
+            discovery=await self.discovery.listen(),
+            counter=await self.counter.listen(),
+            first_rate_server=address(0),
+        )
 
-    def do(self, order: dict[str, Any]) -> dict[str, Any]:
-        """One order; its answer. KeyError or ValueError where there is no such order."""
-        match order["do"]:
-            case "remove":
-                return self._remove(order["count"])
-            case "roll":
-                self.discovery.roll(order["per_s"])
-            case "silence":
-                self.discovery.silence(order["on"])
-            case "counter":
-                self.counter.set_mode(Mode(order["mode"]), order["shards"], order.get("delay_s", 0.0))
-            case "figures":
-                return {
-                    "servers": {**self.servers.figures, "open": self.servers.open},
-                    "counter": dict(self.counter.figures),
-                    "discovery": {**self.discovery.figures, "open": len(self.discovery.watches)},
-                }
-            case unknown:
-                raise ValueError(f"no order {unknown!r}")
-        return {}
+    def carry_out(self, command: StandInCommand) -> Reply:
+        """Carry out a command after the first one; raises ValueError for a second StartStandIns."""
+        match command:
+            case RemoveEndpoints():
+                return self._remove(command.count)
+            case RollEndpoints():
+                self.discovery.roll(command.changes_per_s)
+            case SilenceDiscovery():
+                self.discovery.set_silent(command.on)
+            case SetCounterMode():
+                self.counter.set_mode(command.mode, command.shards, command.delay_s)
+            case GetFigures():
+                self.discovery.figures.open_watches = len(self.discovery.watches)
+                return StandInFigures(
+                    rate_servers=self.rate_servers.figures,
+                    counter=self.counter.figures,
+                    discovery=self.discovery.figures,
+                )
+            case StartStandIns():
+                raise ValueError("the stand-ins are started once, and run already")
+        return Done()
 
-    def _remove(self, count: int) -> dict[str, Any]:
-        """Half of the servers that have had attempts go first, so that a gateway must leave what it uses."""
-        used = [server for server, _ in self.servers.attempts_at.most_common()]
-        gone = self.discovery.remove(count, used[: (len(used) + 1) // 2])
-        return {"gone": len(gone), "used": len(set(gone) & set(used))}
+    def _remove(self, count: int) -> RemovedEndpoints:
+        """Remove endpoints; half of those with attempts go first, so that a gateway loses some it uses."""
+        used = [number for number, _ in self.rate_servers.attempts_by_number.most_common()]
+        removed = self.discovery.remove(count, used[: (len(used) + 1) // 2])
+        return RemovedEndpoints(removed=len(removed), used=len(set(removed) & set(used)))
 
 
 async def serve() -> None:
-    """Stand in until the input ends."""
+    """Stand in until the input ends; raises ValueError where the first command is not StartStandIns."""
     stand_ins: StandIns | None = None
-    async for order, answer in serve_orders():
-        if stand_ins is None:
-            stand_ins = StandIns(order)
-            answer(await stand_ins.start())
-            gc.freeze()  # the list lives on: collections need not look at it again
+    async for command, respond in serve_commands(StandInCommand):
+        if stand_ins is not None:
+            respond(stand_ins.carry_out(command))
+        elif isinstance(command, StartStandIns):
+            stand_ins = StandIns(command)
+            respond(await stand_ins.start())
+            gc.freeze()  # the endpoint list stays: collections need not traverse it again
         else:
-            answer(stand_ins.do(order))
+            raise ValueError(f"the first command must be StartStandIns, not {command!r}")
 
 
 if __name__ == "__main__":
--- a/rushroad/bench/stand_ins/counter.py
+++ b/rushroad/bench/stand_ins/counter.py
@@ -1,31 +1,35 @@
-"""The counter: numbers by name in shards, each of which can be busy, slow or down."""
+"""The counter: totals by name in shards, each of which can be busy, slow or down."""
 
 from __future__ import annotations
 
 import asyncio
-import math
 import zlib
-from collections import Counter as Counts
-from enum import Enum
-from typing import cast
+from dataclasses import dataclass
+from typing import NamedTuple, cast
 
+from rushroad.bench.commands import CounterFigures, CounterMode
 from rushroad.bench.stand_ins.replies import Replies
 
-MOST_NAME = 64  # bytes
-MOST_AMOUNT = 1e9
-MOST_LIFE = 60_000  # milliseconds
-MOST_LINE = 256  # bytes; a longer line is no call
-SWEEP = 10.0  # seconds between looks for names whose life is over
+MAX_NAME_BYTES = 64
+MAX_AMOUNT = 1e9
+MAX_LIFETIME_MS = 60_000
+MAX_LINE_BYTES = 256  # a longer line is no call
+SWEEP_INTERVAL_S = 10.0  # between checks for expired names
 BACKLOG = 4_096  # connects that wait to be accepted
+ERROR = b"error\r\n"
 
 
-class Mode(Enum):
-    """How a shard takes its calls."""
+class CounterAnswer(NamedTuple):
+    """The reply to a call, and the mode of the shard that handles it."""
 
-    NORMAL = "normal"
-    BUSY = "busy"  # turns all away
-    SLOW = "slow"  # answers after a time
-    DOWN = "down"  # answers nothing, so that nothing behind it on a connection is answered either
+    mode: CounterMode
+    text: bytes
+
+
+@dataclass(slots=True)
+class _Total:
+    total: float
+    expires_at: float  # seconds of the loop's clock
 
 
 def shard_of(name: bytes, shards: int) -> int:
@@ -34,46 +38,47 @@
 
 
 class _Connection(asyncio.Protocol):
-    """Calls, one behind another."""
+    """A gateway's connection, with one call behind another."""
 
     def __init__(self, counter: Counter) -> None:
         self._counter = counter
-        self._rest = b""
+        self._rest = b""  # of a line that has not come whole
         self._transport: asyncio.Transport
         self._replies: Replies
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A gateway has come."""
+        """Count the connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._replies = Replies(self._transport)
-        self._counter.figures["connects"] += 1
+        self._counter.figures.connects += 1
 
     def data_received(self, data: bytes) -> None:
-        """Whole lines are calls."""
-        self._counter.figures["bytes_in"] += len(data)
+        """Handle each whole line as a call."""
+        self._counter.figures.bytes_in += len(data)
         *lines, self._rest = (self._rest + data).split(b"\r\n")
         for line in lines:
             self._call(line)
-        if len(self._rest) > MOST_LINE:
+        if len(self._rest) > MAX_LINE_BYTES:
             self._transport.abort()
 
     def _call(self, line: bytes) -> None:
-        place, mode, text = self._replies.place(), *self._counter.answer(line)
-        if mode is Mode.SLOW:
-            self._counter.loop.call_later(self._counter.delay, self._replies.fill, place, text)
-        elif mode is not Mode.DOWN:
-            self._replies.fill(place, text)
+        reply, answer = self._replies.reserve(), self._counter.answer(line)
+        if answer.mode is CounterMode.SLOW:
+            delay_s = self._counter.slow_delay_s
+            self._counter.loop.call_later(delay_s, self._replies.fill, reply, answer.text)
+        elif answer.mode is not CounterMode.DOWN:
+            self._replies.fill(reply, answer.text)
 
 
 class Counter:
-    """The numbers, and what was asked of them: `figures` counts calls, pings, connects and bytes."""
+    """The totals, and `figures` of what has come."""
 
     def __init__(self, shards: int, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.figures: Counts[str] = Counts()
-        self.delay = 0.0  # seconds that a slow shard takes
-        self._modes = [Mode.NORMAL] * shards
-        self._totals: dict[bytes, tuple[float, float]] = {}  # name: total, and when its life is over
+        self.figures = CounterFigures()
+        self.slow_delay_s = 0.0  # of slow shards
+        self._modes = [CounterMode.NORMAL] * shards
+        self._totals: dict[bytes, _Total] = {}
         self._listener: asyncio.Server
 
     async def listen(self) -> str:
@@ -85,43 +90,46 @@
         host, port = self._listener.sockets[0].getsockname()
         return f"{host}:{port}"
 
-    def set_mode(self, mode: Mode, shards: int, delay: float) -> None:
-        """The first `shards` shards go on in this mode, the others as normal. `delay`: seconds."""
-        self.delay = delay
-        self._modes = [mode if number < shards else Mode.NORMAL for number in range(len(self._modes))]
+    def set_mode(self, mode: CounterMode, shards: int, delay_s: float) -> None:
+        """Set the mode of the first `shards` shards; the others are normal. `delay_s`: of slow shards."""
+        self.slow_delay_s = delay_s
+        normal = CounterMode.NORMAL
+        self._modes = [mode if number < shards else normal for number in range(len(self._modes))]
 
-    def answer(self, line: bytes) -> tuple[Mode, bytes]:
-        """What a line gets, and how."""
+    def answer(self, line: bytes) -> CounterAnswer:
+        """Handle a line."""
+        mode, text = self._handle(line)
+        self.figures.bytes_out += len(text)
+        return CounterAnswer(mode, text)
+
+    def _handle(self, line: bytes) -> CounterAnswer:
         if line == b"ping":
-            self.figures["pings"] += 1
-            return Mode.NORMAL, self._out(b"pong\r\n")
-        self.figures["calls"] += 1
+            self.figures.pings += 1
+            return CounterAnswer(CounterMode.NORMAL, b"pong\r\n")
+        self.figures.calls += 1
         try:
-            verb, name, amount_text, life_text = line.split(b" ")
-            amount, life = float(amount_text), int(life_text)
+            verb, name, amount_text, lifetime_text = line.split(b" ")
+            amount, lifetime_ms = float(amount_text), int(lifetime_text)
         except ValueError:
-            return Mode.NORMAL, self._out(b"error\r\n")
-        if verb != b"bump" or not 1 <= len(name) <= MOST_NAME or life < 1 or not abs(amount) <= MOST_AMOUNT:
-            return Mode.NORMAL, self._out(b"error\r\n")
+            return CounterAnswer(CounterMode.NORMAL, ERROR)
+        well_formed = verb == b"bump" and 1 <= len(name) <= MAX_NAME_BYTES
+        if not well_formed or lifetime_ms < 1 or not abs(amount) <= MAX_AMOUNT:
+            return CounterAnswer(CounterMode.NORMAL, ERROR)
         mode = self._modes[shard_of(name, len(self._modes))]
-        if mode is Mode.BUSY:
-            return mode, self._out(b"busy\r\n")
-        return mode, self._out(b"ok %.7g\r\n" % self._add(name, amount, life))
-
-    def _out(self, text: bytes) -> bytes:
-        self.figures["bytes_out"] += len(text)
-        return text
+        if mode is CounterMode.BUSY:
+            return CounterAnswer(mode, b"busy\r\n")
+        return CounterAnswer(mode, b"ok %.7g\r\n" % self._add(name, amount, lifetime_ms))
 
-    def _add(self, name: bytes, amount: float, life: int) -> float:
+    def _add(self, name: bytes, amount: float, lifetime_ms: int) -> float:
         now = self.loop.time()
-        total, until = self._totals.get(name, (0.0, -math.inf))
-        if until <= now:
-            total, until = 0.0, now + min(life, MOST_LIFE) / 1e3
-        self._totals[name] = (total + amount, until)
-        return total + amount
+        entry = self._totals.get(name)
+        if entry is None or entry.expires_at <= now:
+            entry = self._totals[name] = _Total(0.0, now + min(lifetime_ms, MAX_LIFETIME_MS) / 1e3)
+        entry.total += amount
+        return entry.total
 
     def _sweep(self) -> None:
         now = self.loop.time()
-        for name in [name for name, (_, until) in self._totals.items() if until <= now]:
+        for name in [name for name, entry in self._totals.items() if entry.expires_at <= now]:
             del self._totals[name]
-        self.loop.call_later(SWEEP, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
--- a/rushroad/bench/stand_ins/rate_servers.py
+++ b/rushroad/bench/stand_ins/rate_servers.py
@@ -6,94 +6,94 @@
 import socket
 import time
 from collections import Counter
+from collections.abc import Iterable
 from ipaddress import IPv4Address
 from typing import cast
 
+from rushroad.bench.commands import RateServerFigures
 from rushroad.bench.stand_ins.replies import Replies, Reply
 from rushroad.proxy import resp
 
 FIRST_ADDRESS = int(IPv4Address("127.64.0.0"))  # of rate server 0; the others follow, up to 127.127.255.255
-MOST_SERVERS = 1 << 22
+MAX_RATE_SERVERS = 1 << 22
 BACKLOG = 4_096  # connects that wait to be accepted
-MOST_WORDS = 16  # in a command
-LATE = 0.55  # seconds after a server is told as gone from which no attempt may come: the rule's and slack
-ARITY = {b"CALL.GET": 4, b"CALL.POST": 5}
-SIMPLE = {b"PING": b"+PONG\r\n", b"INFO": b"-NOPERM\r\n", b"CLIENT": b"+OK\r\n", b"SELECT": b"+OK\r\n"}
+MAX_WORDS = 16  # in a command
+LATE_AFTER_S = 0.55  # from an endpoint's removal, after which no attempt may come: the drain grace and slack
+WORDS_OF_COMMAND = {b"CALL.GET": 4, b"CALL.POST": 5}
+OTHER_REPLIES = {b"PING": b"+PONG\r\n", b"INFO": b"-NOPERM\r\n", b"CLIENT": b"+OK\r\n", b"SELECT": b"+OK\r\n"}
 
 
-def server_address(server: int, port: int) -> str:
-    """Where rate server number `server` is, from 0, with a listener at `port`."""
-    if not 0 <= server < MOST_SERVERS:
-        raise ValueError(f"no rate server {server}")
-    return f"{IPv4Address(FIRST_ADDRESS + server)}:{port}"
+def rate_server_address(number: int, port: int) -> str:
+    """The address of a rate server, by its number from 0; raises ValueError where there can be none."""
+    if not 0 <= number < MAX_RATE_SERVERS:
+        raise ValueError(f"rate servers have numbers from 0 to {MAX_RATE_SERVERS - 1}, not {number}")
+    return f"{IPv4Address(FIRST_ADDRESS + number)}:{port}"
 
 
 class _Connection(asyncio.Protocol):
-    """A gateway's connection to one of the servers, known by the address that it came to."""
+    """A gateway's connection to one of the rate servers, which the address that it came to names."""
 
-    def __init__(self, servers: RateServers) -> None:
-        self._servers = servers
-        self._reader = resp.Reader(MOST_WORDS)
+    def __init__(self, rate_servers: RateServers) -> None:
+        self._rate_servers = rate_servers
+        self._reader = resp.Reader(MAX_WORDS)
         self._transport: asyncio.Transport
         self._replies: Replies
-        self._server = 0
+        self._number = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A gateway has come."""
+        """Count the connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._replies = Replies(self._transport)
-        self._server = int(IPv4Address(transport.get_extra_info("sockname")[0])) - FIRST_ADDRESS
-        self._servers.figures["connects"] += 1
-        self._servers.open += 1
+        self._number = int(IPv4Address(transport.get_extra_info("sockname")[0])) - FIRST_ADDRESS
+        self._rate_servers.figures.connects += 1
+        self._rate_servers.figures.open_connections += 1
 
-    def connection_lost(self, error: Exception | None) -> None:
-        """The gateway has left."""
-        self._servers.open -= 1
+    def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
+        """Count the connection no more."""
+        self._rate_servers.figures.open_connections -= 1
 
     def data_received(self, data: bytes) -> None:
-        """Commands; what is none ends the connection."""
+        """Handle commands; data that is none ends the connection."""
         self._reader.feed(data)
         try:
             while (words := self._reader.next()) is not None:
-                self._begin(cast(list[bytes], words))
+                self._handle(cast(list[bytes], words))
         except resp.Malformed:
-            self._servers.figures["syntax"] += 1
+            self._rate_servers.figures.syntax_errors += 1
             self._transport.abort()
 
-    def _begin(self, words: list[bytes]) -> None:
-        place = self._replies.place()
-        if words[0] not in ARITY:
-            self._replies.fill(place, SIMPLE.get(words[0], b"-ERR unknown command\r\n"))
-        elif len(words) != ARITY[words[0]]:
-            self._servers.figures["syntax"] += 1
-            self._replies.fill(place, b"-SYNTAX\r\n")
+    def _handle(self, words: list[bytes]) -> None:
+        reply, rate_servers = self._replies.reserve(), self._rate_servers
+        if words[0] not in WORDS_OF_COMMAND:
+            self._replies.fill(reply, OTHER_REPLIES.get(words[0], b"-ERR unknown command\r\n"))
+        elif len(words) != WORDS_OF_COMMAND[words[0]]:
+            rate_servers.figures.syntax_errors += 1
+            self._replies.fill(reply, b"-SYNTAX\r\n")
         else:
-            self._servers.count_attempt(self._server)
-            self._servers.loop.call_later(
-                self._servers.work, self._serve, place, words[2], time.monotonic_ns()
-            )
-
-    def _serve(self, place: Reply, request: bytes, begun: int) -> None:
-        """The value tells whose it is and how many microseconds the server took: its timer is coarse."""
-        value = b"%b %d" % (request, (time.monotonic_ns() - begun) // 1_000)
+            rate_servers.count_attempt(self._number)
+            began_ns = time.monotonic_ns()
+            rate_servers.loop.call_later(rate_servers.work_s, self._serve, reply, words[2], began_ns)
+
+    def _serve(self, reply: Reply, request_id: bytes, began_ns: int) -> None:
+        """Answer with the request's id and the work in microseconds as measured: the timer is coarse."""
+        value = b"%b %d" % (request_id, (time.monotonic_ns() - began_ns) // 1_000)
         if not self._transport.is_closing():
-            answer = b"*3\r\n$%d\r\n%b\r\n$-1\r\n%b" % (len(value), value, self._servers.report())
-            self._replies.fill(place, answer)
+            answer = b"*3\r\n$%d\r\n%b\r\n$-1\r\n%b" % (len(value), value, self._rate_servers.load_report())
+            self._replies.fill(reply, answer)
 
 
 class RateServers:
-    """The servers' shared listener, and what has come to them.
+    """The rate servers' shared listener, and `figures` of what has come.
 
-    `work` is seconds a request; `figures` counts attempts, connects, syntax errors and `late` attempts, those
-    that came more than LATE after their server was told as gone.
+    `work_s` is seconds a request. An attempt is late where it came more than LATE_AFTER_S after its endpoint
+    was removed from the list.
     """
 
-    def __init__(self, work: float, reports: bool, loop: asyncio.AbstractEventLoop) -> None:
-        self.loop, self.work, self._reports = loop, work, reports
-        self.figures: Counter[str] = Counter()
-        self.open = 0  # connections
-        self.attempts_at: Counter[int] = Counter()  # by server
-        self._gone: dict[int, float] = {}  # server: when it was told as gone
+    def __init__(self, work_s: float, load_reports: bool, loop: asyncio.AbstractEventLoop) -> None:
+        self.loop, self.work_s, self._load_reports = loop, work_s, load_reports
+        self.figures = RateServerFigures()
+        self.attempts_by_number: Counter[int] = Counter()
+        self._removed_at: dict[int, float] = {}  # seconds of the loop's clock, by number
         self._listener: asyncio.Server
         self._port = 0
 
@@ -107,25 +107,25 @@
             lambda: _Connection(self), sock=listener, backlog=BACKLOG
         )
 
-    def address(self, server: int) -> str:
-        """Where rate server number `server` is."""
-        return server_address(server, self._port)
+    def address(self, number: int) -> str:
+        """The address of a rate server."""
+        return rate_server_address(number, self._port)
 
-    def told_gone(self, servers: list[int]) -> None:
-        """From LATE after now these may get no attempt."""
+    def note_removed(self, numbers: Iterable[int]) -> None:
+        """Note that these have just been removed from the endpoint list."""
         now = self.loop.time()
-        for server in servers:
-            self._gone[server] = now
-
-    def count_attempt(self, server: int) -> None:
-        """A whole command has come."""
-        self.figures["attempts"] += 1
-        self.attempts_at[server] += 1
-        gone = self._gone.get(server)
-        if gone is not None and self.loop.time() - gone > LATE:
-            self.figures["late"] += 1
-
-    def report(self) -> bytes:
+        for number in numbers:
+            self._removed_at[number] = now
+
+    def count_attempt(self, number: int) -> None:
+        """Count a whole command that has come to a rate server."""
+        self.figures.attempts += 1
+        self.attempts_by_number[number] += 1
+        removed_at = self._removed_at.get(number)
+        if removed_at is not None and self.loop.time() - removed_at > LATE_AFTER_S:
+            self.figures.late_attempts += 1
+
+    def load_report(self) -> bytes:
         """The load report of an answer, or null."""
-        text = b"inflight=%d" % min(self.open, 4)
-        return b"$%d\r\n%b\r\n" % (len(text), text) if self._reports else b"$-1\r\n"
+        text = b"inflight=%d" % min(self.figures.open_connections, 4)
+        return b"$%d\r\n%b\r\n" % (len(text), text) if self._load_reports else b"$-1\r\n"
--- a/rushroad/bench/stand_ins/replies.py
+++ b/rushroad/bench/stand_ins/replies.py
@@ -1,4 +1,4 @@
-"""Answers in the order of the commands on a connection."""
+"""Replies in the order of the commands on a connection."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Reply:
-    """The place of one answer in a connection's order; its text, once it is ready."""
+    """One reply in a connection's order; its text, once it is ready."""
 
     __slots__ = ("text",)
 
@@ -16,20 +16,20 @@
 
 
 class Replies:
-    """Writes each answer when it is ready and all before it have been written."""
+    """Writes each reply when it is ready and all before it have been written."""
 
     def __init__(self, transport: asyncio.Transport) -> None:
         self._transport = transport
         self._queue: deque[Reply] = deque()
 
-    def place(self) -> Reply:
-        """The next command's place."""
+    def reserve(self) -> Reply:
+        """Reserve the next command's reply in the order."""
         reply = Reply()
         self._queue.append(reply)
         return reply
 
     def fill(self, reply: Reply, text: bytes) -> None:
-        """An answer is ready."""
+        """Take a reply that is ready, and write all that can be written."""
         reply.text = text
         while self._queue and (ready := self._queue[0].text) is not None:
             self._queue.popleft()
--- /dev/null
+++ b/rushroad/bench/stored_runs.py
@@ -0,0 +1,83 @@
+"""Reads the stored records of runs, one line of JSON each, into typed rows.
+
+The names of stored columns are mapped to the rows' fields by the row types. Columns that only older records
+have are optional fields there.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from rushroad.bench.real.rows import ChangesRow, CostRow, CounterBytesRow, DemoRow, StartRow
+from rushroad.bench.report import Machine, Record
+from rushroad.bench.rows import ErrorRow, FitRow, Row
+from rushroad.bench.simulated.cold_fleet import WarmUpTotalRow, WarmUpWindowRow
+from rushroad.bench.simulated.module_cost import ModuleCostRow
+from rushroad.bench.simulated.restart_tenth import RestartRow
+from rushroad.bench.simulated.spread import SpreadRow
+from rushroad.bench.simulated.zone_lost import ZoneLostRow
+
+ROW_TYPES: Mapping[str, tuple[type[Row], ...]] = {
+    "module-cost": (ModuleCostRow,),
+    "spread": (SpreadRow,),
+    "cold-fleet": (WarmUpWindowRow, WarmUpTotalRow),
+    "restart-tenth": (RestartRow,),
+    "zone-lost": (ZoneLostRow,),
+    "demo": (DemoRow,),
+    "cost-by-servers": (CostRow,),
+    "cost-by-rate": (CostRow,),
+    "cost-by-tenants": (CostRow,),
+    "whole-list": (StartRow,),
+    "changes": (ChangesRow,),
+    "counter-bytes": (CounterBytesRow,),
+}
+
+
+class _StoredRecord(msgspec.Struct, forbid_unknown_fields=True):
+    experiment: str
+    seed: int
+    parameters: dict[str, Any]
+    rows: list[dict[str, Any]]
+    commit: str
+    machine: Machine
+
+
+def read_records(path: Path) -> Iterator[Record]:
+    """Read a file of records, one a line.
+
+    Raises msgspec.DecodeError where a line is no record, and ValueError where its experiment or one of its
+    rows is unknown.
+    """
+    with path.open("rb") as file:
+        for line in file:
+            yield read_record(line)
+
+
+def read_record(line: bytes) -> Record:
+    """Read one record; raises as `read_records` does."""
+    stored = msgspec.json.decode(line, type=_StoredRecord)
+    if stored.experiment not in ROW_TYPES:
+        raise ValueError(f"a record of the experiment {stored.experiment!r}, which is none of {[*ROW_TYPES]}")
+    return Record(
+        experiment=stored.experiment,
+        seed=stored.seed,
+        parameters=stored.parameters,
+        rows=[_read_row(stored.experiment, columns) for columns in stored.rows],
+        commit=stored.commit,
+        machine=stored.machine,
+    )
+
+
+def _read_row(experiment: str, columns: dict[str, Any]) -> Row:
+    """The row of the first type whose columns these are."""
+    for row_type in (*ROW_TYPES[experiment], FitRow, ErrorRow):
+        try:
+            row: Row = msgspec.convert(columns, row_type)
+            return row
+        except msgspec.ValidationError:
+            continue
+    raise ValueError(f"no row of {experiment} has the columns {[*columns]}")
--- a/rushroad/bench/worker.py
+++ b/rushroad/bench/worker.py
@@ -1,41 +1,50 @@
-"""Orders from the bench to its processes, and their answers: JSON, one a line, over pipes."""
+"""The bench's own processes: typed commands on their standard input, replies on their standard output."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import json
 import subprocess
 import sys
 from collections.abc import AsyncIterator, Callable
 from pathlib import Path
 from types import TracebackType
-from typing import Any
+from typing import Any, TypeVar
+
+import msgspec
+
+from rushroad.bench.commands import Command, Reply
 
 ROOT = Path(__file__).parent.parent.parent
-MOST_LINE = 1 << 24  # bytes
-END_S = 5.0  # seconds that a process may take to end when its input has ended; then it is killed
-Answer = Callable[[dict[str, Any]], None]
+MAX_LINE_BYTES = 1 << 24
+END_TIMEOUT_S = 5.0  # for a process to end once its input has ended; then it is killed
+
+ReplyT = TypeVar("ReplyT", bound=Reply)
+Respond = Callable[[Reply], None]
 
 
-async def serve_orders() -> AsyncIterator[tuple[dict[str, Any], Answer]]:
-    """Each order from standard input with the way to answer it, until the input ends."""
+async def serve_commands(command_types: Any) -> AsyncIterator[tuple[Any, Respond]]:
+    """Yield each command from standard input with the function that replies to it, until the input ends.
+
+    `command_types` is the union of the commands. Raises msgspec.DecodeError where a line is none of them.
+    """
+    decoder = msgspec.json.Decoder(command_types)
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(MOST_LINE)
+    reader = asyncio.StreamReader(MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        yield json.loads(line), _answer
+        yield decoder.decode(line), _respond
 
 
-def _answer(data: dict[str, Any]) -> None:
-    print(json.dumps(data), flush=True)
+def _respond(reply: Reply) -> None:
+    print(msgspec.json.encode(reply).decode(), flush=True)
 
 
 class Worker:
     """One of the bench's own processes, `python -m MODULE`.
 
-    It ends when its input does, so also when the bench is killed. In a session of its own: Ctrl-C goes to the
-    bench alone, which ends it.
+    It ends when its input does, so also when the bench is killed. It has a session of its own: Ctrl-C goes to
+    the bench alone, which ends it.
     """
 
     def __init__(self, module: str) -> None:
@@ -45,28 +54,26 @@
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             start_new_session=True,
-            text=True,
         )
 
-    def order(self, data: dict[str, Any]) -> dict[str, Any]:
-        """Give an order and wait for its answer. RuntimeError where the process has ended."""
-        self.begin(data)
-        return self.answer()
+    def call(self, command: Command, reply_type: type[ReplyT]) -> ReplyT:
+        """Send a command and wait for its reply; raises RuntimeError where the process has ended."""
+        self.send(command)
+        return self.receive(reply_type)
 
-    def begin(self, data: dict[str, Any]) -> None:
-        """Give an order."""
+    def send(self, command: Command) -> None:
+        """Send a command."""
         assert self.process.stdin is not None
-        self.process.stdin.write(json.dumps(data) + "\n")
+        self.process.stdin.write(msgspec.json.encode(command) + b"\n")
         self.process.stdin.flush()
 
-    def answer(self) -> dict[str, Any]:
-        """Wait for the answer to the oldest order."""
+    def receive(self, reply_type: type[ReplyT]) -> ReplyT:
+        """Wait for the reply to the oldest command; raises RuntimeError where the process has ended."""
         assert self.process.stdout is not None
         line = self.process.stdout.readline()
         if not line:
             raise RuntimeError(f"{self.process.args!r} has ended with {self.process.wait()}")
-        answer: dict[str, Any] = json.loads(line)
-        return answer
+        return msgspec.json.decode(line, type=reply_type)
 
     def __enter__(self) -> Worker:
         return self
@@ -78,7 +85,7 @@
         with contextlib.suppress(BrokenPipeError):
             self.process.stdin.close()
         try:
-            self.process.wait(END_S)
+            self.process.wait(END_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
--- /dev/null
+++ b/tests/bench/real/test_commands.py
@@ -0,0 +1,67 @@
+"""Short forms of the subcommands on real gateways; and that no process is left."""
+
+import json
+import signal
+import subprocess
+import sys
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import psutil
+import pytest
+from click.testing import CliRunner
+
+from rushroad.bench.cli import main
+from rushroad.bench.worker import ROOT
+
+PROCESSES = 4  # of a demo of two gateways: these, the stand-ins and the clients
+
+
+def test_a_demo_serves_all_and_leaves_no_process(run_command: Callable[..., dict[str, Any]]) -> None:
+    record = run_command("demo", "--size", "2/12", "--rate", "50", "--seconds", "1", "--work-ms", "1")
+    (row,) = record["rows"]
+    counts = {name: row[name] for name in ("requests", "served", "refused", "failed", "lost", "wrong")}
+    assert counts == {"requests": 100, "served": 100, "refused": 0, "failed": 0, "lost": 0, "wrong": 0}
+    assert row["attempts"] >= 100
+    assert {"commit", "seed", "machine"} <= record.keys()
+    assert psutil.Process().children(recursive=True) == []
+
+
+@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
+def test_an_interrupted_demo_leaves_no_process(number: signal.Signals) -> None:
+    words = (sys.executable, "-m", "rushroad.bench.cli", "demo", "--size", "2/12", "--seconds", "600")
+    with subprocess.Popen(words, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE) as demo:
+        bench = psutil.Process(demo.pid)
+        found: list[psutil.Process] = []
+        while len(found) < PROCESSES:
+            assert demo.poll() is None
+            found = bench.children(recursive=True)
+        demo.send_signal(number)
+        try:
+            demo.communicate(timeout=60)
+        finally:
+            demo.kill()  # one that goes on fails the test, and holds up no other
+        assert demo.returncode != 0
+    _, remaining = psutil.wait_procs(found, timeout=60)
+    assert remaining == []
+
+
+def test_counter_bytes_has_a_row_for_each_size(run_command: Callable[..., dict[str, Any]]) -> None:
+    record = run_command("counter-bytes", "--sizes", "1/3,2/6", "--rate", "50", "--seconds", "0.5")
+    assert [(row["fleet"], row["servers"], row["requests"], row["served"]) for row in record["rows"]] == [
+        (1, 3, 25, 25),
+        (2, 6, 25, 25),
+    ]
+
+
+def test_a_gateway_that_does_not_start_makes_a_row_with_its_log_and_an_exit_code(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    deploy_file = tmp_path / "deploy.toml"
+    deploy_file.write_text('run = "echo no such gateway; exit 3"')
+    monkeypatch.setattr("rushroad.bench.real.gateway_processes.DEPLOY_FILE", deploy_file)
+    done = CliRunner().invoke(main, ["demo", "--size", "1/3"])
+    assert done.exit_code == 1
+    (line,) = [line for line in done.stdout.splitlines() if line.startswith("{")]
+    assert json.loads(line)["rows"][0]["error"] == "gateway 0 ended with 3: no such gateway\n"
--- /dev/null
+++ b/tests/bench/simulated/test_fleet.py
@@ -0,0 +1,53 @@
+"""Simulated fleets on the virtual clock."""
+
+import pytest
+
+from rushroad.bench.fleet_size import parse_fleet_size
+from rushroad.bench.simulated.fleet import Fleet
+from rushroad.bench.simulated.policy_internals import ready_endpoints
+from rushroad.bench.simulated.simulation import SECOND, Tally
+from rushroad.bench.simulated.subsets import subsets_of_fleet
+
+
+@pytest.fixture
+def fleet() -> Fleet:
+    return Fleet(parse_fleet_size("6/12"), seed=1)
+
+
+def test_a_fleet_without_faults_serves_all_requests(fleet: Fleet) -> None:
+    fleet.run(10 * SECOND)
+    counts = fleet.simulation.counts(0, 10)
+    assert counts[Tally.REQUESTS] > 500
+    assert counts[Tally.SERVED] > 0.98 * (counts[Tally.REQUESTS] - 40)
+    assert counts[Tally.FAILED] == counts[Tally.CRASHES] == counts[Tally.UNAVAILABLE] == 0
+
+
+def test_the_same_seed_gives_the_same_run_and_another_one_does_not() -> None:
+    fleets = [Fleet(parse_fleet_size("6/12"), seed=seed) for seed in (3, 3, 4)]
+    for fleet in fleets:
+        fleet.run(4 * SECOND)
+    counts = [fleet.simulation.counts_by_second for fleet in fleets]
+    assert counts[0] == counts[1] != counts[2]
+
+
+def test_each_request_ends_once_through_restarts_silence_and_a_counter_that_is_down(fleet: Fleet) -> None:
+    fleet.run(3 * SECOND)
+    servers, gateways = list(fleet.rate_servers.values()), list(fleet.gateways.values())
+    fleet.counter.down = servers[0].silent = servers[1].down = True
+    gateways[0].stop()
+    fleet.run(5 * SECOND)
+    gateways[0].start()
+    fleet.run(5 * SECOND)
+    counts = fleet.simulation.counts(0, 13)
+    pending = sum(len(gateway.pending) for gateway in gateways)
+    ended = (Tally.SERVED, Tally.REJECTED, Tally.FAILED, Tally.LOST)
+    assert counts[Tally.REQUESTS] == sum(counts[tally] for tally in ended) + pending
+    assert counts[Tally.LOST] > 0
+    assert counts[Tally.UNAVAILABLE] > 0
+
+
+def test_gateways_keep_to_the_subsets_that_are_computed_for_the_fleet() -> None:
+    fleet = Fleet(parse_fleet_size("40/300"), seed=1)
+    fleet.run(1 * SECOND)
+    expected = subsets_of_fleet(40, list(fleet.rate_servers))
+    assert [ready_endpoints(gateway.policy) for gateway in fleet.gateways.values()] == expected
--- a/tests/bench/test_report.py
+++ b/tests/bench/test_report.py
@@ -7,6 +7,11 @@
 import pytest
 
 from rushroad.bench.report import Run, commit, fit, table
+from rushroad.bench.rows import Row
+
+
+class MeanRow(Row, frozen=True, kw_only=True):
+    mean: float
 
 
 def test_the_line_through_points_on_a_line_explains_all_of_them() -> None:
@@ -20,7 +25,7 @@
 
 
 @pytest.mark.parametrize("points", [[], [(1.0, 1.0)], [(1.0, 1.0), (1.0, 2.0)]])
-def test_too_few_points_are_said_so(points: list[tuple[float, float]]) -> None:
+def test_too_few_points_for_a_line_are_an_error(points: list[tuple[float, float]]) -> None:
     with pytest.raises(ValueError, match="no line"):
         fit(points)
 
@@ -36,7 +41,7 @@
 
 def test_a_run_writes_all_that_made_it_in_one_line(capsys: pytest.CaptureFixture[str]) -> None:
     run, out = Run("spread", 7, {"sizes": ["200/200"]}), io.StringIO()
-    run.add({"mean": 0.5})
+    run.add(MeanRow(mean=0.5))
     run.finish(out)
     assert "mean" in capsys.readouterr().out
     (line,) = out.getvalue().splitlines()
--- a/tests/integration/soak.py
+++ b/tests/integration/soak.py
@@ -21,7 +21,7 @@
 
 import uvloop
 
-from rushroad.bench.stand_ins.counter import Mode
+from rushroad.bench.commands import CounterMode
 from tests.support.gateway_cluster import TICK, Client, World, call
 
 KILL_LEAST, KILL_MORE = 3.0, 0.7  # seconds: SIGKILL comes that long after SIGTERM at the earliest
@@ -155,7 +155,9 @@
                 await asyncio.sleep(HELD)
                 process.send_signal(signal.SIGCONT)
             case 5:
-                world.counter.set_mode(self.chance.choice(list(Mode)), 1, self.chance.uniform(0.01, 0.2))
+                world.counter.set_mode(
+                    self.chance.choice(list(CounterMode)), 1, self.chance.uniform(0.01, 0.2)
+                )
 
     async def _use(self, world: World, number: int) -> None:
         """One client: uses its connection as long as it stays open, then opens another."""
--- a/tests/integration/test_actual_units.py
+++ b/tests/integration/test_actual_units.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rushroad.bench.real.gateway_processes import settings
+from rushroad.bench.real.gateway_settings import gateway_settings
 from rushroad.proxy.engine import Attempt, Engine
 from rushroad.proxy.upstream import Upstream
 from tests.proxy.test_upstream import FAST, LONG, at, held
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize("gateways", [1, 2])
 def test_a_quota_counts_the_true_units(tmp_path: Path, gateways: int) -> None:
     async def scenario() -> None:
-        extra = settings(1, 0)["extra"] | {"truedUp": True}
+        extra = gateway_settings(1, 0)["extra"] | {"truedUp": True}
         world = World(tmp_path, gateways=gateways, settings={"packages": [PLAN], "extra": extra})
         async with world:
             for server in world.rate_servers:
--- a/tests/integration/test_largest_values.py
+++ b/tests/integration/test_largest_values.py
@@ -2,12 +2,12 @@
 
 from pathlib import Path
 
-from rushroad.bench.real.gateway_processes import settings
+from rushroad.bench.real.gateway_settings import gateway_settings
 from tests.support.gateway_cluster import World, call
 from tests.support.loopback import run
 
 LARGEST = 64 * 1024
-ORDER = settings(1, 0)["classes"][0] | {"name": "order", "effect": "once"}
+ORDER = gateway_settings(1, 0)["classes"][0] | {"name": "order", "effect": "once"}
 
 
 def test_a_value_of_64_kib_passes_whole_in_both_directions_and_one_byte_more_does_not(tmp_path: Path) -> None:
--- a/tests/support/gateway_cluster.py
+++ b/tests/support/gateway_cluster.py
@@ -18,7 +18,7 @@
 from types import TracebackType
 from typing import Any, cast
 
-from rushroad.bench.real.gateway_processes import settings as bench_settings
+from rushroad.bench.real.gateway_settings import gateway_settings
 from rushroad.bench.stand_ins.counter import Counter
 from rushroad.bench.stand_ins.replies import Replies, Reply
 from rushroad.proxy import resp
@@ -85,7 +85,7 @@
         self.address = f"127.0.0.1:{self._listener.sockets[0].getsockname()[1]}"
 
     def take(self, words: list[bytes], connection: _ServerConnection) -> None:
-        loop, place = asyncio.get_running_loop(), connection.replies.place()
+        loop, place = asyncio.get_running_loop(), connection.replies.reserve()
         told = TOLD.search(words[3])
         assert told is not None, words
         attempt = Attempt(self.name, words[2], int(told[1]), loop.time())
@@ -271,7 +271,7 @@
 
     def configure(self, number: int, **changed: Any) -> None:
         """Write a gateway's configuration."""
-        settings = bench_settings(self.gateways, number) | self.settings
+        settings = gateway_settings(self.gateways, number) | self.settings
         config = {
             "name": f"n{number}",
             "listen": f"{HOST}:{self.ports[number]}",
