--- a/tests/integration/test_standing_terms.py
+++ b/tests/integration/test_standing_terms.py
@@ -300,7 +300,7 @@
             await heard.calls.get()
         client.close()
         for _ in range(MAX_UNANSWERED):
-            await heard.left.get()
+            await heard.disconnected.get()
         assert loop.spans and max(loop.spans) <= ALLOWED / 2  # the rest is for a busy loop
 
     run(scenario)
--- /dev/null
+++ b/tests/proxy/test_client_listener.py
@@ -0,0 +1,171 @@
+"""The stop of the listener: which connections and requests are still served, and for how long."""
+
+import asyncio
+import socket
+from collections.abc import Callable
+from typing import cast
+
+import pytest
+
+from tests.support.client_side import PING, PONG, ClientSide, Play
+from tests.support.loopback import LOCAL, call
+
+
+def test_stop_answers_requests_in_flight_then_closes_all_connections(play: Play) -> None:
+    async def scenario(gateway: ClientSide) -> None:
+        idle, busy = await gateway.connect(), await gateway.connect()
+        busy[1].write(call(1))
+        command = await gateway.engine.calls.get()
+        stopping = asyncio.create_task(gateway.listener.stop(0.05, 5.0))
+        late = await gateway.connect()  # new connections are accepted for a while
+        late[1].write(call(2))
+        last = await gateway.engine.calls.get()
+        assert await idle[0].read() == b""
+        command.succeed(b"x")
+        assert await busy[0].read() == b"$1\r\nx\r\n"
+        assert not stopping.done()
+        last.fail()
+        assert await late[0].read() == b"-ERR failed\r\n"
+        await stopping
+        with pytest.raises(ConnectionRefusedError):
+            await gateway.connect()
+
+    play(scenario)
+
+
+def test_partial_command_delays_the_stop_for_a_limited_time(
+    play: Play, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr("rushroad.proxy.client_listener.PARTIAL_COMMAND_TIMEOUT", 0.02)
+
+    async def scenario(gateway: ClientSide) -> None:
+        reader, writer = await gateway.connect()
+        writer.write(call(1) + call(2)[:-5])
+        command = await gateway.engine.calls.get()
+        stopping = asyncio.create_task(gateway.listener.stop(0.0, 5.0))
+        command.succeed(b"x")
+        assert await reader.read() == b"$1\r\nx\r\n"
+        await stopping
+
+    play(scenario)
+
+
+def test_client_that_never_reads_does_not_delay_the_stop(play: Play, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("rushroad.proxy.client_listener.PARTIAL_COMMAND_TIMEOUT", 0.02)
+
+    async def scenario(gateway: ClientSide) -> None:
+        _, writer = await gateway.connect()
+        writer.transport.pause_reading()  # type: ignore[attr-defined]
+        writer.write(call(1))
+        (await gateway.engine.calls.get()).succeed(b"x" * (64 << 20))  # more than the sockets' buffers hold
+        await gateway.listener.stop(0.0, 0.02)
+        while gateway.connections.open:
+            await asyncio.sleep(0)
+
+    play(scenario)
+
+
+@pytest.fixture
+def before_listener_closes(monkeypatch: pytest.MonkeyPatch) -> Callable[[Callable[[], None]], None]:
+    """Has something done just before a stop closes the listener, with no turn of the loop between."""
+    sleep = asyncio.sleep
+
+    def arrange(action: Callable[[], None]) -> None:
+        delays: list[float] = []
+
+        async def sleep_or_act(delay: float) -> None:
+            delays.append(delay)
+            if len(delays) == 1:
+                action()
+            else:
+                await sleep(delay)
+
+        monkeypatch.setattr("rushroad.proxy.client_listener.asyncio.sleep", sleep_or_act)
+
+    return arrange
+
+
+async def receive_all(client: socket.socket) -> bytes:
+    """Everything until the end of the stream."""
+    loop = asyncio.get_running_loop()
+    data = b""
+    while more := await loop.sock_recv(client, 4096):
+        data += more
+    return data
+
+
+def test_connection_that_arrives_as_the_listener_closes_is_accepted(
+    play: Play, before_listener_closes: Callable[[Callable[[], None]], None]
+) -> None:
+    async def scenario(gateway: ClientSide) -> None:
+        connected = asyncio.Event()
+        with socket.socket() as client:
+
+            def connect() -> None:
+                client.connect((LOCAL, gateway.listener.port))
+                client.setblocking(False)
+                client.send(call(1))
+                connected.set()
+
+            before_listener_closes(connect)
+            stopping = asyncio.create_task(gateway.listener.stop(0.0, 5.0))
+            await connected.wait()
+            assert await receive_all(client) == b"-BUSY\r\n"
+            client.close()
+            await stopping
+
+    play(scenario)
+
+
+def test_request_that_arrives_as_the_listener_closes_is_answered(
+    play: Play, before_listener_closes: Callable[[Callable[[], None]], None]
+) -> None:
+    async def scenario(gateway: ClientSide) -> None:
+        loop = asyncio.get_running_loop()
+        with socket.create_connection((LOCAL, gateway.listener.port)) as client:
+            client.setblocking(False)
+            await loop.sock_sendall(client, PING)
+            assert await loop.sock_recv(client, 64) == PONG
+            before_listener_closes(lambda: cast(None, client.send(call(1))))
+            stopping = asyncio.create_task(gateway.listener.stop(0.0, 5.0))
+            assert await receive_all(client) == b"-BUSY\r\n"
+            client.close()
+            await stopping
+
+    play(scenario)
+
+
+def test_further_requests_on_busy_connections_are_rejected_during_the_stop(play: Play) -> None:
+    # It would never be without unanswered requests: clients send on every connection that stays open.
+    async def scenario(gateway: ClientSide) -> None:
+        reader, writer = await gateway.connect()
+        writer.write(call(1))
+        command = await gateway.engine.calls.get()
+        stopping = asyncio.create_task(gateway.listener.stop(0.0, 5.0))
+        while not gateway.connections.shutting_down:
+            await asyncio.sleep(0)
+        writer.write(call(2) + call(3)[:-5])
+        writer.write(call(3)[-5:])
+        while len(command.connection.unanswered) < 3:
+            await asyncio.sleep(0)
+        command.succeed(b"x")
+        writer.write(call(4))  # crosses the end
+        assert await reader.read() == b"$1\r\nx\r\n-BUSY\r\n-BUSY\r\n"
+        assert gateway.engine.calls.empty()
+        writer.close()
+        await stopping
+
+    play(scenario)
+
+
+def test_requests_in_flight_are_answered_at_the_time_limit_of_the_stop(play: Play) -> None:
+    async def scenario(gateway: ClientSide) -> None:
+        reader, writer = await gateway.connect()
+        writer.write(call(1) + call(2))
+        gateway.engine.unanswered = [await gateway.engine.calls.get(), await gateway.engine.calls.get()]
+        stopping = asyncio.create_task(gateway.listener.stop(0.0, 0.05))
+        assert await reader.read() == b"-ERR failed\r\n-ERR failed\r\n"
+        writer.close()
+        await stopping
+
+    play(scenario)
--- /dev/null
+++ b/tests/proxy/test_disconnect_poll.py
@@ -0,0 +1,50 @@
+"""Clients that close a connection while it is not read."""
+
+import asyncio
+
+import pytest
+
+from rushroad.proxy.client_connection import MAX_UNANSWERED
+from tests.support.client_side import ClientSide, Play
+from tests.support.loopback import call
+
+
+@pytest.mark.parametrize("max_unanswered", [1, MAX_UNANSWERED])
+@pytest.mark.parametrize("abrupt", [True, False])
+def test_disconnect_is_noticed_while_reading_is_paused(
+    play: Play, max_unanswered: int, abrupt: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # Otherwise its commands, and those that wait unread behind them, would still be forwarded.
+    monkeypatch.setattr("rushroad.proxy.client_connection.MAX_UNANSWERED", max_unanswered)
+
+    async def scenario(gateway: ClientSide) -> None:
+        _, writer = await gateway.connect()
+        writer.write(b"".join(call(number) for number in range(200)))
+        for _ in range(max_unanswered):
+            command = await gateway.engine.calls.get()
+        assert not command.connection.transport.is_reading()
+        if abrupt:
+            writer.transport.abort()
+        else:
+            writer.close()
+        cancelled = {await gateway.engine.disconnected.get() for _ in range(max_unanswered)}
+        assert cancelled == set(range(1, max_unanswered + 1))
+        while gateway.connections.open:
+            await asyncio.sleep(0)
+        assert gateway.engine.calls.empty()
+
+    play(scenario)
+
+
+def test_disconnect_is_noticed_while_answers_are_unread(play: Play) -> None:
+    async def scenario(gateway: ClientSide) -> None:
+        _, writer = await gateway.connect()
+        writer.transport.pause_reading()  # type: ignore[attr-defined]
+        writer.write(call(1) + call(2))
+        first, second = await gateway.engine.calls.get(), await gateway.engine.calls.get()
+        first.succeed(b"x" * (64 << 20))  # more than the sockets' buffers hold
+        assert not second.connection.transport.is_reading()
+        writer.write_eof()
+        assert await gateway.engine.disconnected.get() == 2
+
+    play(scenario)
--- /dev/null
+++ b/tests/proxy/test_loop_lag.py
@@ -0,0 +1,68 @@
+"""Since when input may have waited for the event loop, around a stall of the loop."""
+
+import asyncio
+from collections.abc import Callable
+from typing import cast
+
+import pytest
+
+from rushroad.proxy.loop_lag import BACKLOG_TIME, PROBE_INTERVAL, LoopLagMonitor
+
+
+class ManualLoop:
+    """A loop whose clock and timers the test moves."""
+
+    def __init__(self) -> None:
+        self.now = 100.0
+        self.timers: list[tuple[float, Callable[[], None]]] = []
+
+    def time(self) -> float:
+        return self.now
+
+    def call_later(self, delay: float, callback: Callable[[], None]) -> None:
+        self.timers.append((self.now + delay, callback))
+
+    def run_timers_at(self, now: float) -> None:
+        self.now = now
+        due, self.timers = self.timers, []
+        for _, callback in due:
+            callback()
+
+
+@pytest.fixture
+def loop() -> ManualLoop:
+    return ManualLoop()
+
+
+@pytest.fixture
+def monitor(loop: ManualLoop) -> LoopLagMonitor:
+    monitor = LoopLagMonitor(cast(asyncio.AbstractEventLoop, loop))
+    monitor.start()
+    return monitor
+
+
+def test_input_counts_from_its_read_while_the_loop_is_on_time(
+    loop: ManualLoop, monitor: LoopLagMonitor
+) -> None:
+    loop.run_timers_at(100.0 + PROBE_INTERVAL)
+    loop.now += PROBE_INTERVAL / 2
+    assert monitor.waiting_since() == loop.now
+
+
+def test_input_read_before_a_late_probe_counts_from_when_the_probe_was_due(
+    loop: ManualLoop, monitor: LoopLagMonitor
+) -> None:
+    loop.now = 101.0
+    assert monitor.waiting_since() == 100.0 + PROBE_INTERVAL
+
+
+def test_input_read_shortly_after_a_late_probe_counts_from_the_start_of_the_stall(
+    loop: ManualLoop, monitor: LoopLagMonitor
+) -> None:
+    loop.run_timers_at(101.0)
+    assert monitor.waiting_since() == 100.0 + PROBE_INTERVAL
+    loop.now = 101.0 + BACKLOG_TIME
+    assert monitor.waiting_since() == 100.0 + PROBE_INTERVAL
+    loop.run_timers_at(101.0 + PROBE_INTERVAL)
+    loop.now = 101.0 + BACKLOG_TIME + 0.01
+    assert monitor.waiting_since() == loop.now
--- /dev/null
+++ b/tests/support/client_side.py
@@ -0,0 +1,49 @@
+"""The client side of the gateway on loopback sockets, in front of an engine that records what it is asked."""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from typing import Protocol, cast
+
+from rushroad.proxy.client_listener import ClientListener
+from rushroad.proxy.connection_table import ConnectionTable
+from rushroad.proxy.engine import Engine
+from tests.support.loopback import LOCAL, SCHEMA, Heard, resp, run
+
+PING, PONG = resp(b"PING"), b"+PONG\r\n"
+Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+
+
+class ClientSide:
+    """A listener with its connections, and the engine behind it."""
+
+    def __init__(self, max_connections: int = 8, loop: asyncio.AbstractEventLoop | None = None) -> None:
+        self.engine = Heard()
+        loop = loop or asyncio.get_running_loop()
+        self.listener = ClientListener(cast(Engine, self.engine), SCHEMA, max_connections, loop)
+
+    @property
+    def connections(self) -> ConnectionTable:
+        return self.listener.connections
+
+    async def connect(self) -> Streams:
+        """Connect a client."""
+        return await asyncio.open_connection(LOCAL, self.listener.port)
+
+
+Scenario = Callable[[ClientSide], Awaitable[None]]
+
+
+class Play(Protocol):
+    def __call__(self, scenario: Scenario, max_connections: int = 8) -> None:
+        """Run a scenario on a client side that listens; its connections are aborted afterwards."""
+
+
+def play_scenario(scenario: Scenario, max_connections: int = 8) -> None:
+    async def start() -> None:
+        gateway = ClientSide(max_connections)
+        await gateway.listener.listen(LOCAL, 0)
+        await scenario(gateway)
+        for connection in list(gateway.connections.open):
+            connection.transport.abort()
+
+    run(start)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -86,10 +86,10 @@
         self.clock = Clock()
         self.ended: asyncio.Queue[tuple[int, Result, bytes, tuple[float, ...]]] = asyncio.Queue()
         self.calls: asyncio.Queue[Any] = asyncio.Queue()
-        self.left: asyncio.Queue[int] = asyncio.Queue()
-        self.taken: set[bytes] = set()
+        self.disconnected: asyncio.Queue[int] = asyncio.Queue()
+        self.ids_in_flight: set[bytes] = set()
         self.true_units: list[float | None] = []
-        self.unanswered: list[Any] = []  # what the end of the process answers
+        self.unanswered: list[Any] = []  # failed by `answer_all`
         self._count = 0
 
     def attempt_finished(
@@ -104,14 +104,14 @@
         self.ended.put_nowait((attempt.request_id, result, value, load))
 
     def submit(self, call: Any) -> int:
-        if call.id in self.taken:
+        if call.id in self.ids_in_flight:
             return 0
         self.calls.put_nowait(call)
         self._count += 1
         return self._count
 
     def client_disconnected(self, request: int) -> None:
-        self.left.put_nowait(request)
+        self.disconnected.put_nowait(request)
 
     def answer_all(self) -> None:
         for call in self.unanswered:
