--- /dev/null
+++ b/rushroad/policy/endpoint_updates.py
@@ -0,0 +1,100 @@
+"""Takes updates of the endpoint list into the table and into this gateway's subset."""
+
+from __future__ import annotations
+
+from random import Random
+
+from rushroad.policy.actions import WatchEndpoints
+from rushroad.policy.active_endpoints import ActiveEndpoints
+from rushroad.policy.clock_skew import ClockSkew
+from rushroad.policy.concurrency_limit import ConcurrencyLimiter
+from rushroad.policy.counter_breaker import CounterBreaker
+from rushroad.policy.endpoints import EndpointTable
+from rushroad.policy.events import EndpointUpdate, UpdateKind
+from rushroad.policy.load_shedding import LoadShedding
+from rushroad.policy.outbox import Outbox
+from rushroad.policy.quota import Quota
+from rushroad.policy.settings import Settings
+from rushroad.policy.subsetting import AFFORDABLE_REPLICAS
+from rushroad.policy.timers import SUBSET_REVIEW, WATCH_RETRY, Timers
+
+WATCH_RETRIES = 10  # retries of a failed call to the discovery service that fit into the poll interval
+SAMPLED_CALL_SHARE = 0.5  # of the requests that call the counter at first, in a large fleet
+
+
+class EndpointUpdates:
+    """Applies updates, and reviews the subset where the number of endpoints asks for another one."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        table: EndpointTable,
+        endpoints: ActiveEndpoints,
+        clock_skew: ClockSkew,
+        limiter: ConcurrencyLimiter,
+        load_shedding: LoadShedding,
+        breaker: CounterBreaker,
+        quota: Quota,
+        timers: Timers,
+        outbox: Outbox,
+        random: Random,
+    ) -> None:
+        self._settings = settings
+        self._table = table
+        self._endpoints = endpoints
+        self._clock_skew = clock_skew
+        self._limiter = limiter
+        self._load_shedding = load_shedding
+        self._breaker = breaker
+        self._quota = quota
+        self._timers = timers
+        self._outbox = outbox
+        self._random = random
+
+    def apply(self, update: EndpointUpdate, now: int) -> None:
+        """Take in one update."""
+        if update.kind is UpdateKind.FAILED:
+            self._schedule_watch_retry()
+            return
+        is_cached = update.kind is UpdateKind.CACHED_SNAPSHOT
+        if is_cached and update.last and self._settings.polls_endpoints:
+            self._outbox.add(WatchEndpoints(enabled=True))
+        self._clock_skew.observe(update, now)
+        changed = self._table.apply(update)
+        is_complete = update.last or update.kind is UpdateKind.DELTA
+        is_resized = is_complete and self._table.resize_subset()
+        if is_resized:
+            self._start_review(now)
+        for entry in changed:
+            if not is_resized or entry.name in self._endpoints:  # the review finds the others
+                self._endpoints.update(entry, now)
+        self.refresh(now)
+        if update.last:
+            starts = [endpoint.entry.started_at for endpoint in self._endpoints.ready]
+            self._clock_skew.check_plausible(starts, now, self._settings.safety.warm_up_time)
+
+    def _schedule_watch_retry(self) -> None:
+        """Retry well within the poll interval, but not at once: the calls of all gateways may have failed."""
+        delay = self._settings.safety.poll_interval // WATCH_RETRIES
+        self._timers.start_single(self._random.randint(delay, 2 * delay), WATCH_RETRY)
+
+    def _start_review(self, now: int) -> None:
+        is_first = self._limiter.pooled is None and not self._endpoints
+        if is_first and self._table.mean_replicas > AFFORDABLE_REPLICAS:
+            # In such a fleet a gateway sees little of each endpoint and of each tenant.
+            self._limiter.pool(now)
+            self._breaker.call_share = SAMPLED_CALL_SHARE
+            self._quota.samples_requests = True
+        if self._endpoints.start_review():
+            self.review_subset(now)
+
+    def review_subset(self, now: int) -> None:
+        """Review the next part of the endpoint list after a change of the subset's size."""
+        if self._endpoints.review_next_part(now):
+            self._timers.start_single(self._settings.tick, SUBSET_REVIEW)
+        self.refresh(now)
+
+    def refresh(self, now: int) -> None:
+        """Bring what depends on the active endpoints up to date."""
+        self._load_shedding.accrue(now)
+        self._endpoints.refresh()
--- a/rushroad/proxy/client_command.py
+++ b/rushroad/proxy/client_command.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from rushroad.policy.settings import Idempotency, Settings
-from rushroad.policy.settings_reader import Names
+from rushroad.policy.settings_reader import ProxySettings
 from rushroad.proxy import resp
 
 if TYPE_CHECKING:
@@ -49,13 +49,13 @@
     longest_deadline: float = 0.0  # seconds; of all request classes
 
     @classmethod
-    def from_settings(cls, settings: Settings, names: Names) -> CommandSchema:
-        """Return the schema of a deployment with these settings and names."""
+    def from_settings(cls, settings: Settings, proxy_settings: ProxySettings) -> CommandSchema:
+        """Return the schema of a deployment with these settings."""
         classes = settings.request_classes
         return cls(
-            {name.encode(): index for name, index in names.classes.items()},
+            {name.encode(): index for name, index in proxy_settings.class_indexes.items()},
             tuple(item.idempotency is not Idempotency.IDEMPOTENT for item in classes),
-            {name.encode(): index for name, index in names.plans.items()},
+            {name.encode(): index for name, index in proxy_settings.plan_indexes.items()},
             settings.max_units,
             settings.fleet_size,
             max(item.deadline for item in classes) / 1e6,
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -7,14 +7,16 @@
 import uvloop
 
 from rushroad.policy.events import Result
-from rushroad.policy.settings_reader import Names
+from rushroad.policy.settings_reader import ProxySettings
 from rushroad.proxy.client_command import CommandSchema
 from rushroad.proxy.clock import Clock
 from rushroad.proxy.in_flight import Attempt
 from rushroad.proxy.resp import pack
 
 LOCAL = "127.0.0.1"
-NAMES = Names({"lookup": 0, "order": 1}, {"basic": 0}, {"box": 1}, {"room": 0}, idle=15_000_000)
+NAMES = ProxySettings(
+    {"lookup": 0, "order": 1}, {"basic": 0}, {"box": 1}, {"room": 0}, idle_timeout=15_000_000
+)
 SCHEMA = CommandSchema({b"lookup": 0, b"order": 1}, (False, True), {b"basic": 0}, max_units=4.0, fleet_size=3)
 TENANT = b"00000000000000ab"
 
