--- /dev/null
+++ b/tests/integration/test_client_disconnect.py
@@ -0,0 +1,288 @@
+"""Clients that close while their requests are in flight: nothing more of them may be forwarded."""
+
+import asyncio
+import socket
+import struct
+from collections.abc import Awaitable, Callable, Iterator
+from typing import Any, cast
+
+import pytest
+
+from rushroad.policy.actions import Action, CounterAdd, SetTimer, StartAttempt
+from rushroad.policy.events import (
+    AttemptOutcome,
+    ClientDisconnected,
+    CounterReply,
+    Event,
+    Request,
+    Result,
+    TimerFired,
+)
+from rushroad.proxy.client_connection import MAX_UNANSWERED, BlockReason
+from rushroad.proxy.client_listener import ClientListener
+from rushroad.proxy.engine import Engine
+from rushroad.proxy.upstream import Upstream
+from tests.proxy.test_upstream import LONG, OK, at
+from tests.support.client_side import ClientSide
+from tests.support.gateway_driver import SETTINGS
+from tests.support.loopback import LOCAL, SCHEMA, Peer, call, run
+from tests.support.scripted_policy import Script, ScriptedPolicy, install_policy
+
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER
+ALLOWED_DELAY = 0.1  # seconds after a close in which an attempt may still start
+PIPELINE = b"".join(call(number) for number in range(200))  # more than a connection may have unanswered
+
+
+def retry_after_pause(event: Event) -> Iterator[Action]:
+    """A counter addition, a first attempt, a pause after its outcome, a further attempt."""
+    match event:
+        case Request():
+            yield CounterAdd(event.id, 1.0, 1_000)
+        case CounterReply():
+            yield StartAttempt(event.name, "s-1", LONG)
+        case AttemptOutcome(final=False):
+            yield SetTimer(0, event.request_id)
+        case TimerFired():
+            yield StartAttempt(event.token, "s-1", LONG)
+
+
+class HeldCounter:
+    """A counter that replies when the test says so."""
+
+    def __init__(self, engine: Engine) -> None:
+        self._engine = engine
+        self.pending: list[int] = []
+
+    def add(self, name: int, _amount: float, _lifetime: int) -> None:
+        self.pending.append(name)
+
+    def reply_all(self) -> None:
+        """Reply to all additions, with no turn of the loop between them."""
+        pending, self.pending = self.pending, []
+        for name in pending:
+            self._engine.post(CounterReply(name, Result.OK, 0, 1.0))
+
+
+class Gateway:
+    """A gateway between one rate server and clients whose sockets act at once, between turns of the loop."""
+
+    def __init__(self, policy: ScriptedPolicy, engine: Engine, endpoint: Peer) -> None:
+        loop = asyncio.get_running_loop()
+        self.policy, self.endpoint = policy, endpoint
+        self.upstream = engine.backend = Upstream(engine, SETTINGS, 15_000_000, 8, loop)
+        self.upstream.update_endpoints(at(endpoint.port), True)
+        self.counter = engine.counter = HeldCounter(engine)
+        self.listener = ClientListener(engine, SCHEMA, 8, loop)
+        self.client: socket.socket
+
+    def connect(self) -> socket.socket:
+        """Connect one more client."""
+        client = socket.create_connection((LOCAL, self.listener.port))
+        client.setblocking(False)
+        return client
+
+    async def serve(self, client: socket.socket, number: int) -> bytes:
+        """Serve a request; return what the endpoint received for it. Its connection is idle afterwards."""
+        client.sendall(call(number))
+        await until(lambda: bool(self.counter.pending))
+        self.counter.reply_all()
+        received = b""
+        while b"%016x" % number not in received:
+            writer, data = await self.endpoint.came.get()
+            received += data
+        writer.write(OK)
+        assert (await asyncio.get_running_loop().sock_recv(client, 4096)).startswith(b"$")
+        return received
+
+    def cancelled_requests(self) -> int:
+        return sum(isinstance(event, ClientDisconnected) for event in self.policy.events)
+
+
+Scenario = Callable[[Gateway], Awaitable[None]]
+PlayGateway = Callable[[Script, Scenario], None]
+
+
+@pytest.fixture
+def play_gateway(monkeypatch: pytest.MonkeyPatch) -> PlayGateway:
+    """Runs a scenario with an idle connection to the endpoint, which an attempt takes at once."""
+
+    def play(script: Script, scenario: Scenario) -> None:
+        monkeypatch.setattr("rushroad.proxy.upstream.SETTLE", 0.0)
+        policy = install_policy(monkeypatch, script)
+
+        async def start() -> None:
+            engine = Engine(SETTINGS, 1, asyncio.get_running_loop())
+            async with Peer() as endpoint:
+                gateway = Gateway(policy, engine, endpoint)
+                await gateway.listener.listen(LOCAL, 0)
+                gateway.client = gateway.connect()
+                await gateway.serve(gateway.client, 1)
+                await scenario(gateway)
+                gateway.client.close()
+                gateway.upstream.close()
+
+        run(start)
+
+    return play
+
+
+class ConnectHook:
+    """A loop on which something happens in the very turn in which a connection opens."""
+
+    def __init__(self, action: Callable[[], None]) -> None:
+        self._loop, self._action = asyncio.get_running_loop(), action
+
+    async def create_connection(self, *args: Any) -> Any:
+        connection = await self._loop.create_connection(*args)
+        self._action()
+        return connection
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self._loop, name)
+
+
+class PollRecorder:
+    """A loop that records the delays of disconnect polls."""
+
+    def __init__(self) -> None:
+        self._loop, self.delays = asyncio.get_running_loop(), list[float]()
+
+    def call_later(self, delay: float, callback: Callable[..., None], *args: object) -> asyncio.TimerHandle:
+        if callback.__name__ == "_poll":
+            self.delays.append(delay)
+        return self._loop.call_later(delay, callback, *args)
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self._loop, name)
+
+
+async def until(condition: Callable[[], bool]) -> None:
+    while not condition():
+        await asyncio.sleep(0)
+
+
+def close(client: socket.socket, abrupt: bool) -> None:
+    if abrupt:
+        client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+    client.close()
+
+
+@pytest.mark.parametrize("abrupt", [True, False])
+@pytest.mark.parametrize(
+    ("closes_at", "requests"),
+    [(Request, 3), (CounterReply, 1), (CounterReply, 200), (AttemptOutcome, 1), (TimerFired, 1)],
+)
+def test_no_attempt_starts_after_its_client_closed(
+    play_gateway: PlayGateway, closes_at: type[Event], requests: int, abrupt: bool
+) -> None:
+    # It closes while the policy handles an event: the loop has no turn to read that before the next action.
+    closing: list[socket.socket] = []
+
+    def script(event: Event) -> Iterator[Action]:
+        if isinstance(event, closes_at) and closing:
+            close(closing.pop(), abrupt)
+        yield from retry_after_pause(event)
+
+    async def scenario(gateway: Gateway) -> None:
+        submitted = min(requests, MAX_UNANSWERED)
+        if closes_at is Request:
+            closing.append(gateway.client)
+        with gateway.connect() as other:
+            gateway.client.sendall(b"".join(call(2 + number) for number in range(requests)))
+            await until(lambda: len(gateway.counter.pending) == submitted)
+            if closes_at is CounterReply:
+                closing.append(gateway.client)
+            gateway.counter.reply_all()
+            if closes_at in (AttemptOutcome, TimerFired):
+                writer, _ = await gateway.endpoint.hear()
+                closing.append(gateway.client)
+                writer.write(b"-ERR failed\r\n")
+            await until(lambda: gateway.cancelled_requests() >= submitted)
+            assert (await gateway.serve(other, 1_000)).count(b"CALL.GET") == 1  # nothing came before it
+
+    play_gateway(script, scenario)
+
+
+@pytest.mark.parametrize("abrupt", [True, False])
+def test_connection_that_opens_after_the_client_closed_carries_none_of_its_attempts(
+    play_gateway: PlayGateway, abrupt: bool
+) -> None:
+    async def scenario(gateway: Gateway) -> None:
+        upstream = gateway.upstream
+        upstream.loop = cast(asyncio.AbstractEventLoop, ConnectHook(lambda: close(gateway.client, abrupt)))
+        upstream.drop_idle(upstream.loop.time() + 60.0)
+        with gateway.connect() as other:
+            gateway.client.sendall(call(2))
+            await until(lambda: bool(gateway.counter.pending))
+            gateway.counter.reply_all()
+            await until(lambda: gateway.cancelled_requests() == 1)
+            upstream.loop = asyncio.get_running_loop()
+            assert (await gateway.serve(other, 3)).count(b"CALL.GET") == 1  # nothing came before it
+
+    play_gateway(retry_after_pause, scenario)
+
+
+@pytest.mark.parametrize("abrupt", [True, False])
+def test_no_attempt_starts_for_a_client_that_closes_during_the_stop(
+    play_gateway: PlayGateway, abrupt: bool
+) -> None:
+    closing: list[socket.socket] = []
+
+    def script(event: Event) -> Iterator[Action]:
+        if isinstance(event, CounterReply) and closing:
+            close(closing.pop(), abrupt)
+        yield from retry_after_pause(event)
+
+    async def scenario(gateway: Gateway) -> None:
+        gateway.client.sendall(call(2) + call(3) + call(4)[:-5])
+        await until(lambda: len(gateway.counter.pending) == 2)
+        stop = asyncio.create_task(gateway.listener.stop(0.0, 60.0))
+        await until(lambda: gateway.listener.connections.shutting_down)
+        closing.append(gateway.client)
+        gateway.counter.reply_all()
+        await until(lambda: gateway.cancelled_requests() == 2)
+        await stop
+        gateway.upstream.close()
+        # The end of the idle connection, and nothing before it.
+        assert (await gateway.endpoint.came.get())[1] == b""
+
+    play_gateway(script, scenario)
+
+
+@pytest.mark.parametrize("abrupt", [True, False])
+def test_unread_commands_of_a_client_that_closed_are_not_submitted(
+    monkeypatch: pytest.MonkeyPatch, abrupt: bool
+) -> None:
+    # They would use up quota, and perhaps be forwarded. Answers make room before the next disconnect poll.
+    monkeypatch.setattr("rushroad.proxy.disconnect_poll.POLL_INTERVAL", 60.0)
+
+    async def scenario() -> None:
+        gateway = ClientSide()
+        await gateway.listener.listen(LOCAL, 0)
+        client = socket.create_connection((LOCAL, gateway.listener.port))
+        client.sendall(PIPELINE)
+        submitted = [await gateway.engine.calls.get() for _ in range(MAX_UNANSWERED)]
+        await until(lambda: submitted[0].connection._blocked_by == BlockReason.PIPELINE_FULL)
+        close(client, abrupt)
+        for command in reversed(submitted):  # one write: only a second one would fail and show the close
+            command.fail()
+        assert gateway.engine.calls.empty()
+
+    run(scenario)
+
+
+def test_disconnects_are_polled_well_within_the_allowed_delay() -> None:
+    async def scenario() -> None:
+        loop = PollRecorder()
+        gateway = ClientSide(loop=cast(asyncio.AbstractEventLoop, loop))
+        await gateway.listener.listen(LOCAL, 0)
+        client = socket.create_connection((LOCAL, gateway.listener.port))
+        client.sendall(PIPELINE)
+        for _ in range(MAX_UNANSWERED):
+            await gateway.engine.calls.get()
+        client.close()
+        for _ in range(MAX_UNANSWERED):
+            await gateway.engine.disconnected.get()
+        assert loop.delays and max(loop.delays) <= ALLOWED_DELAY / 2  # the rest is for a busy loop
+
+    run(scenario)
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -1,16 +1,18 @@
-"""The engine between real client and server sockets, with a module that does what the test says."""
+"""The engine between real sockets of a client and a rate server, with a scripted policy."""
 
 import asyncio
 import re
 import time
 import typing
 from collections.abc import Awaitable, Callable, Iterator
+from dataclasses import dataclass
 from pathlib import Path
 from types import SimpleNamespace
 
 import pytest
 
 import rushroad.policy.gateway
+import rushroad.proxy.engine
 from rushroad.policy.actions import (
     Action,
     CancelAttempt,
@@ -32,261 +34,263 @@
     TimerFired,
     UpdateKind,
 )
-from rushroad.proxy import engine as gateway
 from rushroad.proxy.client_listener import ClientListener
-from rushroad.proxy.clock import Clock
-from rushroad.proxy.engine import Engine
+from rushroad.proxy.engine import NETWORK_ALLOWANCE, Engine
 from rushroad.proxy.in_flight import Call
 from rushroad.proxy.upstream import Upstream
 from tests.proxy.test_upstream import LONG, OK, at
 from tests.support.gateway_driver import SETTINGS
 from tests.support.loopback import LOCAL, SCHEMA, Late, Peer, call, resp, run
+from tests.support.scripted_policy import Script, ScriptedPolicy, install_policy
 
-Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-Script = Callable[[Event], Iterator[Action]]
 
+class InstantCounter:
+    """Replies to each addition at once."""
 
-class Module:
-    """Stands in for the decisions; keeps the events in order."""
+    def __init__(self, engine: Engine) -> None:
+        self._engine = engine
 
-    script: Script
-    events: "list[Event]"
+    def add(self, name: int, amount: float, _lifetime: int) -> None:
+        self._engine.post(CounterReply(name, Result.OK, 0, amount))
 
-    def __init__(self, *_: object) -> None:
-        pass
 
-    def handle(self, now: int, event: Event) -> list[Action]:
-        Module.events.append(event)
-        return list(Module.script(event))
+@dataclass
+class EngineSide:
+    """An engine between one client and one rate server."""
 
+    engine: Engine
+    policy: ScriptedPolicy
+    endpoint: Peer
+    reader: asyncio.StreamReader  # of the client
+    writer: asyncio.StreamWriter
 
-class Counts:
-    """Stands in for the counter."""
 
-    def __init__(self, engine: Engine) -> None:
-        self.engine = engine
+Scenario = Callable[[EngineSide], Awaitable[None]]
+PlayEngine = Callable[[Script, Scenario], list[Event]]
+
+
+@pytest.fixture
+def play_engine(monkeypatch: pytest.MonkeyPatch) -> PlayEngine:
+    """Runs a scenario with a scripted policy, and returns the events of the policy."""
 
-    def add(self, name: int, amount: float, lifetime: int) -> None:
-        self.engine.post(CounterReply(name, Result.OK, 0, amount))
+    def play(script: Script, scenario: Scenario) -> list[Event]:
+        policy = install_policy(monkeypatch, script)
 
+        async def start() -> None:
+            loop = asyncio.get_running_loop()
+            engine = Engine(SETTINGS, 1, loop)
+            async with Peer() as endpoint:
+                upstream = engine.backend = Upstream(engine, SETTINGS, 15_000_000, 8, loop)
+                upstream.update_endpoints(at(endpoint.port), True)
+                engine.counter = InstantCounter(engine)
+                listener = ClientListener(engine, SCHEMA, 8, loop)
+                await listener.listen(LOCAL, 0)
+                client = await asyncio.open_connection(LOCAL, listener.port)
+                await scenario(EngineSide(engine, policy, endpoint, *client))
+                upstream.close()
 
-def no_time_passes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """For the engine, between a command's arrival and its taking."""
-    clocks = SimpleNamespace(monotonic=lambda: 0.0, time_ns=time.time_ns, monotonic_ns=time.monotonic_ns)
-    monkeypatch.setattr(gateway, "time", clocks)
+        run(start)
+        return policy.events
 
+    return play
 
-def play(
-    monkeypatch: pytest.MonkeyPatch,
-    script: Script,
-    scenario: Callable[[Engine, Peer, Ends], Awaitable[None]],
-) -> list[Event]:
-    """Play a scenario with one client and one server; return the events."""
-    Module.script, Module.events = staticmethod(script), []
-    monkeypatch.setattr(gateway, "Gateway", Module)
 
-    async def start() -> None:
-        loop = asyncio.get_running_loop()
-        engine = Engine(SETTINGS, 1, loop)
-        async with Peer() as peer:
-            servers = engine.backend = Upstream(engine, SETTINGS, 15_000_000, 8, loop)
-            servers.update_endpoints(at(peer.port), True)
-            engine.counter = Counts(engine)
-            clients = ClientListener(engine, SCHEMA, 8, loop)
-            await clients.listen(LOCAL, 0)
-            await scenario(engine, peer, await asyncio.open_connection(LOCAL, clients.port))
-            servers.close()
+def set_monotonic_time(monkeypatch: pytest.MonkeyPatch, seconds: float) -> None:
+    """Let the engine see this time when it computes how long a command has waited."""
+    clocks = SimpleNamespace(monotonic=lambda: seconds, time_ns=time.time_ns, monotonic_ns=time.monotonic_ns)
+    monkeypatch.setattr(rushroad.proxy.engine, "time", clocks)
 
-    run(start)
-    return Module.events
 
+@pytest.fixture
+def no_waiting_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Lets commands reach the engine as if they had not waited since their arrival."""
+    set_monotonic_time(monkeypatch, 0.0)
 
-def send_it(event: Event) -> Iterator[Action]:
+
+def start_attempt(event: Event) -> Iterator[Action]:
     if isinstance(event, Request):
         yield StartAttempt(event.id, "s-1", LONG)
 
 
-def test_a_served_request_goes_there_and_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    no_time_passes(monkeypatch)
-
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        reader, writer = ends
+@pytest.mark.usefixtures("no_waiting_time")
+def test_request_is_forwarded_and_its_response_returned(play_engine: PlayEngine) -> None:
+    async def scenario(gateway: EngineSide) -> None:
+        reader, writer = gateway.reader, gateway.writer
         writer.write(call(1))
-        data = await peer.answer(OK)
-        told = re.search(rb",d=(\d+),", data)
-        assert told is not None
-        assert 0 < int(told[1]) <= 890  # the client's patience, however long the module would wait
-        assert data == call(1).replace(b",d=900,", told[0])
+        data = await gateway.endpoint.answer(OK)
+        deadline = re.search(rb",d=(\d+),", data)
+        assert deadline is not None
+        assert 0 < int(deadline[1]) <= 890  # the client's time, though the policy would wait for longer
+        assert data == call(1).replace(b",d=900,", deadline[0])
         assert await reader.readexactly(11) == b"$5\r\nvalue\r\n"
 
-    request, outcome = play(monkeypatch, send_it, scenario)
+    request, outcome = play_engine(start_attempt, scenario)
     assert request == Request(1, 0, 0, 0xAB, 2.0, 890_000, 2, 1, False)
     assert isinstance(outcome, AttemptOutcome)
     assert (outcome.result, outcome.final, outcome.load_report) == (Result.OK, True, (2.0, 7.0))
 
 
-def test_an_error_in_handling_one_request_answers_it_and_the_next_is_served(
-    monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
+def test_error_in_the_policy_fails_its_request_and_the_next_is_served(
+    play_engine: PlayEngine, capfd: pytest.CaptureFixture[str]
 ) -> None:
     def script(event: Event) -> Iterator[Action]:
         if isinstance(event, Request) and event.id == 1:
             raise ZeroDivisionError("boom")
-        yield from send_it(event)
+        yield from start_attempt(event)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        reader, writer = ends
+    async def scenario(gateway: EngineSide) -> None:
+        reader, writer = gateway.reader, gateway.writer
         writer.write(call(1) + call(2))
         assert await reader.readline() == b"-ERR failed\r\n"
-        await peer.answer(OK)
+        await gateway.endpoint.answer(OK)
         assert await reader.readexactly(11) == b"$5\r\nvalue\r\n"
 
-    events = play(monkeypatch, script, scenario)
+    events = play_engine(script, scenario)
     assert ClientDisconnected(1) in events
     assert "boom" in capfd.readouterr().err
 
 
-def test_an_action_without_code_is_told_and_does_not_pass_silently(
-    monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
+def test_unsupported_action_is_logged_and_the_request_answered(
+    play_engine: PlayEngine, capfd: pytest.CaptureFixture[str]
 ) -> None:
     def script(event: Event) -> Iterator[Action]:
         if isinstance(event, Request):
             yield CheckHealth("s-1")
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        ends[1].write(call(1))
-        assert await ends[0].readline() == b"-ERR failed\r\n"
+    async def scenario(gateway: EngineSide) -> None:
+        gateway.writer.write(call(1))
+        assert await gateway.reader.readline() == b"-ERR failed\r\n"
 
-    play(monkeypatch, script, scenario)
+    play_engine(script, scenario)
     assert "NotImplementedError" in capfd.readouterr().err
 
 
-def test_the_module_emits_no_action_without_code() -> None:
-    code = Path(gateway.__file__).read_text()
-    policy = Path(rushroad.policy.gateway.__file__).parent
-    decides = "".join(file.read_text() for file in policy.glob("*.py") if file.name != "actions.py")
+def test_engine_supports_every_action_that_the_policy_uses() -> None:
+    code = Path(rushroad.proxy.engine.__file__).read_text()
+    folder = Path(rushroad.policy.gateway.__file__).parent
+    policy = "".join(file.read_text() for file in folder.glob("*.py") if file.name != "actions.py")
     for action in typing.get_args(Action):
-        if re.search(rf"\b{action.__name__}\(", decides):
+        if re.search(rf"\b{action.__name__}\(", policy):
             assert f"case {action.__name__}()" in code
 
 
-def test_a_request_that_the_module_forgets_is_answered_in_time(
-    monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
+def test_request_that_the_policy_never_answers_fails_after_its_deadline(
+    play_engine: PlayEngine, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    def script(event: Event) -> Iterator[Action]:
+    def script(_: Event) -> Iterator[Action]:
         return iter(())
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        ends[1].write(call(1, b"c=lookup,t=basic,d=40"))
-        assert await ends[0].readline() == b"-ERR failed\r\n"
+    async def scenario(gateway: EngineSide) -> None:
+        gateway.writer.write(call(1, b"c=lookup,t=basic,d=40"))
+        assert await gateway.reader.readline() == b"-ERR failed\r\n"
 
-    assert ClientDisconnected(1) in play(monkeypatch, script, scenario)
+    assert ClientDisconnected(1) in play_engine(script, scenario)
     assert "let the time of request 1 run out" in capfd.readouterr().err
 
 
-def test_a_request_without_time_left_is_answered_by_the_module_and_not_by_its_guard(
-    monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
+def test_request_without_time_remaining_is_still_answered_by_the_policy(
+    play_engine: PlayEngine, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    # It waited unread for all of its time: the guard's timer is due before the module is told of it.
-    clocks = SimpleNamespace(monotonic=lambda: 1e12, time_ns=time.time_ns, monotonic_ns=time.monotonic_ns)
-    monkeypatch.setattr(gateway, "time", clocks)
-    monkeypatch.setattr(gateway, "DEADLINE_GRACE", 0)
+    # It waited unread for all of its time: the deadline timer is due before the policy has the request.
+    set_monotonic_time(monkeypatch, 1e12)
+    monkeypatch.setattr(rushroad.proxy.engine, "DEADLINE_GRACE", 0)
 
     def script(event: Event) -> Iterator[Action]:
         if isinstance(event, Request):
             assert event.time_remaining == 0
             yield Reject(event.id)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        ends[1].write(call(1))
-        assert await ends[0].readline() == b"-BUSY\r\n"
+    async def scenario(gateway: EngineSide) -> None:
+        gateway.writer.write(call(1))
+        assert await gateway.reader.readline() == b"-BUSY\r\n"
 
-    play(monkeypatch, script, scenario)
+    play_engine(script, scenario)
     assert capfd.readouterr().err == ""
 
 
-def test_one_answer_whatever_the_module_says_after_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_gets_one_answer_when_the_policy_gives_several(play_engine: PlayEngine) -> None:
     def script(event: Event) -> Iterator[Action]:
         if isinstance(event, Request):
             yield from (Reject(event.id, 5_000), Fail(event.id), Reject(event.id))
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        ends[1].write(call(1) + resp(b"PING"))
-        assert await ends[0].readline() == b"-BUSY 5\r\n"
-        assert await ends[0].readline() == b"+PONG\r\n"
+    async def scenario(gateway: EngineSide) -> None:
+        gateway.writer.write(call(1) + resp(b"PING"))
+        assert await gateway.reader.readline() == b"-BUSY 5\r\n"
+        assert await gateway.reader.readline() == b"+PONG\r\n"
 
-    play(monkeypatch, script, scenario)
+    play_engine(script, scenario)
 
 
-def test_a_send_for_a_client_that_has_gone_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempt_for_a_disconnected_client_is_not_forwarded(play_engine: PlayEngine) -> None:
     done = asyncio.Event()
 
     def script(event: Event) -> Iterator[Action]:
         if isinstance(event, AttemptOutcome):
             done.set()
-        yield from send_it(event)
+        yield from start_attempt(event)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        stub = typing.cast(Call, Gone())
-        engine.client_disconnected(engine.submit(stub))  # before the module's turn
+    async def scenario(gateway: EngineSide) -> None:
+        stub = typing.cast(Call, UnanswerableCall())
+        gateway.engine.client_disconnected(gateway.engine.submit(stub))  # before the policy has the request
         await done.wait()
-        assert peer.came.empty()
+        assert gateway.endpoint.came.empty()
 
-    events = play(monkeypatch, script, scenario)
-    moot = AttemptOutcome(1, 0, "s-1", Result.NOT_FORWARDED, 0, True)
-    assert [type(events[0]), *events[1:]] == [Request, ClientDisconnected(1), moot]
+    events = play_engine(script, scenario)
+    not_forwarded = AttemptOutcome(1, 0, "s-1", Result.NOT_FORWARDED, 0, True)
+    assert [type(events[0]), *events[1:]] == [Request, ClientDisconnected(1), not_forwarded]
 
 
-@pytest.mark.parametrize("why", ["leaves", "is answered"])
-def test_what_has_no_connection_yet_is_not_sent_once_its_request_is_over(
-    monkeypatch: pytest.MonkeyPatch, why: str
+@pytest.mark.parametrize("end", ["disconnected", "answered"])
+def test_attempt_without_a_connection_is_not_forwarded_once_its_request_is_finished(
+    play_engine: PlayEngine, end: str
 ) -> None:
-    # The connect comes up all the same, as it may when it is given up at that moment.
+    # The connection opens all the same, as it may when connecting is cancelled at that moment.
     done = asyncio.Event()
 
     def script(event: Event) -> Iterator[Action]:
-        yield from send_it(event)
+        yield from start_attempt(event)
         if isinstance(event, TimerFired):
             yield Fail(event.token)
         if isinstance(event, AttemptOutcome):
             done.set()
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        assert isinstance(engine.backend, Upstream)
+    async def scenario(gateway: EngineSide) -> None:
+        assert isinstance(gateway.engine.backend, Upstream)
         late = Late()
-        engine.backend.loop = typing.cast(asyncio.AbstractEventLoop, late)
-        ends[1].write(call(1))
+        gateway.engine.backend.loop = typing.cast(asyncio.AbstractEventLoop, late)
+        gateway.writer.write(call(1))
         await late.asked.wait()
-        if why == "leaves":
-            ends[1].close()
+        if end == "disconnected":
+            gateway.writer.close()
         else:
-            engine.post(TimerFired(1))
+            gateway.engine.post(TimerFired(1))
         await late.done.wait()
         await done.wait()
-        assert (await peer.hear())[1] == b""  # the connection closed with nothing on it
+        assert (await gateway.endpoint.hear())[1] == b""  # the connection was closed with nothing written
 
-    events = play(monkeypatch, script, scenario)
+    events = play_engine(script, scenario)
     (outcome,) = [event for event in events if isinstance(event, AttemptOutcome)]
     assert (outcome.result, outcome.final) == (Result.NOT_FORWARDED, True)
 
 
-def test_at_the_end_all_that_is_open_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Rate servers may never answer, and what the process has not answered when it is killed is lost.
+def test_answer_all_answers_every_request_in_flight(play_engine: PlayEngine) -> None:
+    # Rate servers may never answer, and what is not answered before the process is killed is lost.
     def script(event: Event) -> Iterator[Action]:
         if isinstance(event, Request) and event.id == 1:
-            yield from send_it(event)
+            yield from start_attempt(event)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        ends[1].write(call(1) + call(2))
-        await peer.hear()
-        engine.answer_all()
-        assert await ends[0].readline() == b"-ERR failed\r\n"  # it may have run
-        assert await ends[0].readline() == b"-BUSY\r\n"  # it was never sent
+    async def scenario(gateway: EngineSide) -> None:
+        gateway.writer.write(call(1) + call(2))
+        await gateway.endpoint.hear()
+        gateway.engine.answer_all()
+        assert await gateway.reader.readline() == b"-ERR failed\r\n"  # it may have been executed
+        assert await gateway.reader.readline() == b"-BUSY\r\n"  # it was never forwarded
 
-    play(monkeypatch, script, scenario)
+    play_engine(script, scenario)
 
 
-class Gone:
-    """A call whose client has left: an answer to it is an error."""
+class UnanswerableCall:
+    """A call without the methods that answer: an answer to it is an error."""
 
     id = b"1"
     class_index = plan_index = tenant = first_entry = 0
@@ -294,25 +298,25 @@
     arrived_at = time.monotonic()
 
 
-def test_news_goes_before_requests_that_were_queued_earlier(monkeypatch: pytest.MonkeyPatch) -> None:
-    told = asyncio.Event()
-    news = EndpointUpdate(UpdateKind.DELTA, 2, ())
+def test_endpoint_update_is_processed_before_requests_queued_earlier(play_engine: PlayEngine) -> None:
+    processed = asyncio.Event()
+    update = EndpointUpdate(UpdateKind.DELTA, 2, ())
 
     def script(event: Event) -> Iterator[Action]:
         if isinstance(event, Request):
-            told.set()
+            processed.set()
         return iter(())
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        engine.submit(typing.cast(Call, Gone()))
-        engine.endpoints_updated(news)
-        await told.wait()
+    async def scenario(gateway: EngineSide) -> None:
+        gateway.engine.submit(typing.cast(Call, UnanswerableCall()))
+        gateway.engine.endpoints_updated(update)
+        await processed.wait()
 
-    events = play(monkeypatch, script, scenario)
-    assert events[0] == news
+    events = play_engine(script, scenario)
+    assert events[0] == update
 
 
-def test_cancel_timer_and_count_come_back_as_events(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_counter_add_timer_and_cancelled_attempt_end_in_events(play_engine: PlayEngine) -> None:
     done = asyncio.Event()
 
     def script(event: Event) -> Iterator[Action]:
@@ -328,68 +332,51 @@
                 yield Fail(1)
                 done.set()
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        ends[1].write(call(1))
-        assert (await peer.hear())[1] != b""
-        assert await ends[0].readline() == b"-ERR failed\r\n"
-        assert (await peer.hear())[1] == b""
+    async def scenario(gateway: EngineSide) -> None:
+        gateway.writer.write(call(1))
+        assert (await gateway.endpoint.hear())[1] != b""
+        assert await gateway.reader.readline() == b"-ERR failed\r\n"
+        assert (await gateway.endpoint.hear())[1] == b""
         await done.wait()
 
-    events = play(monkeypatch, script, scenario)
+    events = play_engine(script, scenario)
     assert [type(event) for event in events] == [Request, CounterReply, TimerFired, AttemptOutcome]
     assert isinstance(events[-1], AttemptOutcome)
     assert (events[-1].result, events[-1].final) == (Result.CANCELLED, False)
 
 
-def test_gateways_share_one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards the windows of the counts: their numbers come from the clock, and must be the same everywhere.
-    unix, since = 1_800_000_000_000_000_000, {"now": 5_000_000_000}
-    monkeypatch.setattr("time.time_ns", lambda: unix + since["now"])
-    monkeypatch.setattr("time.monotonic_ns", lambda: since["now"])
-    first = Clock()
-    since["now"] += 7_000_000_000
-    monkeypatch.setattr("time.monotonic_ns", lambda: since["now"] - 6_000_000_000)  # another machine's start
-    second = Clock()
-    assert second.now() == (unix + since["now"]) // 1_000
-    monkeypatch.setattr("time.monotonic_ns", lambda: since["now"])
-    assert first.now() == (unix + since["now"]) // 1_000
-    monkeypatch.setattr("time.time_ns", lambda: 0)  # a system clock set back
-    assert first.now() == (unix + since["now"]) // 1_000
-
-
-def test_an_id_is_taken_until_the_answer_and_while_an_attempt_is_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards rule 2: to a server, the same id again is a second copy while the first is out.
+def test_call_id_stays_in_use_while_an_attempt_is_in_flight(play_engine: PlayEngine) -> None:
+    # To a rate server the same id again would be a second copy while the first is in flight.
     def script(event: Event) -> Iterator[Action]:
-        yield from send_it(event)
+        yield from start_attempt(event)
         if isinstance(event, TimerFired):
             yield Reject(event.token)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        reader, writer = ends
+    async def scenario(gateway: EngineSide) -> None:
+        reader, writer = gateway.reader, gateway.writer
         writer.write(call(1))
-        server, _ = await peer.hear()
-        engine.post(TimerFired(1))
+        endpoint, _ = await gateway.endpoint.hear()
+        gateway.engine.post(TimerFired(1))
         assert await reader.readline() == b"-BUSY\r\n"
         writer.write(call(1))
         assert await reader.readline() == b"-ERR the id is taken\r\n"
-        server.write(OK)
-        while not isinstance(Module.events[-1], AttemptOutcome):
+        endpoint.write(OK)
+        while not isinstance(gateway.policy.events[-1], AttemptOutcome):
             await asyncio.sleep(0.001)
         writer.write(call(1))
-        await peer.answer(OK)
+        await gateway.endpoint.answer(OK)
         assert await reader.readexactly(11) == b"$5\r\nvalue\r\n"
 
-    play(monkeypatch, script, scenario)
-
+    play_engine(script, scenario)
 
-def test_a_patience_beyond_the_deadline_of_the_class_is_cut_to_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    no_time_passes(monkeypatch)
 
-    async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
-        ends[1].write(call(1, b"c=lookup,t=basic,d=999999999"))
-        await peer.answer(OK)
-        assert await ends[0].readexactly(11) == b"$5\r\nvalue\r\n"
+@pytest.mark.usefixtures("no_waiting_time")
+def test_time_remaining_is_limited_to_the_deadline_of_the_class(play_engine: PlayEngine) -> None:
+    async def scenario(gateway: EngineSide) -> None:
+        gateway.writer.write(call(1, b"c=lookup,t=basic,d=999999999"))
+        await gateway.endpoint.answer(OK)
+        assert await gateway.reader.readexactly(11) == b"$5\r\nvalue\r\n"
 
-    request = play(monkeypatch, send_it, scenario)[0]
+    request = play_engine(start_attempt, scenario)[0]
     assert isinstance(request, Request)
-    assert request.time_remaining == SETTINGS.request_classes[0].deadline - gateway.NETWORK_ALLOWANCE
+    assert request.time_remaining == SETTINGS.request_classes[0].deadline - NETWORK_ALLOWANCE
