--- a/rushroad/proxy/client_listener.py
+++ b/rushroad/proxy/client_listener.py
@@ -47,8 +47,8 @@
         except OSError:
             self._listener.close()  # a further try takes the same address
             raise
-        self.connections.loop_lag.start()
-        self.connections.start_sweeps()
+        self.connections.loop_lag.probe()
+        self.connections.sweep()
 
     def _accept(self) -> None:
         """Accept waiting connections. Those that the system has no resources for wait until it has."""
--- a/rushroad/proxy/connection_table.py
+++ b/rushroad/proxy/connection_table.py
@@ -38,11 +38,11 @@
         self._timeouts: dict[ClientConnection, float] = {}  # those whose client has to act; since when
         self._idle_since: dict[ClientConnection, float] = {}
 
-    def start_sweeps(self) -> None:
-        """Sweep now, and from now on at each interval."""
+    def sweep(self) -> None:
+        """Close what is timed out or has idled for long, now and again at each interval."""
         self._close_timed_out()
         self._close_idle()
-        self.loop.call_later(SWEEP_INTERVAL, self.start_sweeps)
+        self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def add(self, connection: ClientConnection) -> None:
         """Add a new connection; where there are too many, another one is closed.
--- a/rushroad/proxy/loop_lag.py
+++ b/rushroad/proxy/loop_lag.py
@@ -17,17 +17,17 @@
         self._probed_at = loop.time()
         self._stalled_since, self._backlog_until = 0.0, 0.0  # of the last stall
 
-    def start(self) -> None:
-        """Probe now, and from now on."""
+    def probe(self) -> None:
+        """Probe now, and again at each interval."""
         now, due = self._loop.time(), self._probed_at + PROBE_INTERVAL
         if now - due > PROBE_TOLERANCE:
             self._stalled_since, self._backlog_until = due, now + BACKLOG_TIME
         self._probed_at = now
-        self._loop.call_later(PROBE_INTERVAL, self.start)
+        self._loop.call_later(PROBE_INTERVAL, self.probe)
 
     def waiting_since(self) -> float:
         """Return since when input that is read now may have waited for the loop; seconds of its clock."""
         now = self._loop.time()
-        return (
-            self._stalled_since if now <= self._backlog_until else min(now, self._probed_at + PROBE_INTERVAL)
-        )
+        if now <= self._backlog_until:
+            return self._stalled_since
+        return min(now, self._probed_at + PROBE_INTERVAL)
--- a/tests/proxy/test_loop_lag.py
+++ b/tests/proxy/test_loop_lag.py
@@ -37,7 +37,7 @@
 @pytest.fixture
 def monitor(loop: ManualLoop) -> LoopLagMonitor:
     monitor = LoopLagMonitor(cast(asyncio.AbstractEventLoop, loop))
-    monitor.start()
+    monitor.probe()
     return monitor
 
 
