--- a/tests/integration/test_actual_units.py
+++ b/tests/integration/test_actual_units.py
@@ -10,7 +10,7 @@
 from rushroad.bench.gateway_processes import settings
 from rushroad.proxy.engine import Attempt, Engine
 from rushroad.proxy.upstream import Upstream
-from tests.proxy.test_upstream import FAST, LONG, at, held
+from tests.support.attempts import FAST, LONG, endpoint_at, request_in_flight
 from tests.support.gateway_cluster import World, call
 from tests.support.loopback import Heard, Peer, run
 
@@ -62,8 +62,8 @@
         heard, loop = Heard(), asyncio.get_running_loop()
         async with Peer() as peer:
             servers = Upstream(cast(Engine, heard), replace(FAST, settles_units=True), 60_000_000, 8, loop)
-            servers.update_endpoints(at(peer.port), True)
-            servers.start(Attempt(1, 0, "s-1", held(10, 0), 0), LONG)
+            servers.update_endpoints(endpoint_at(peer.port), True)
+            servers.start(Attempt(1, 0, "s-1", request_in_flight(10, 0), 0), LONG)
             await peer.answer(b"*3\r\n$5\r\nvalue\r\n$%d\r\n%b\r\n$-1\r\n" % (len(figures), figures))
             await heard.ended.get()
             assert heard.true_units == [units]
--- a/tests/integration/test_standing_terms.py
+++ b/tests/integration/test_standing_terms.py
@@ -44,7 +44,7 @@
     start,
 )
 from tests.proxy.test_engine import Module
-from tests.proxy.test_upstream import LONG, OK, at
+from tests.support.attempts import LONG, OK, endpoint_at
 from tests.support.gateway_driver import SETTINGS
 from tests.support.loopback import LOCAL, NAMES, TERMS, Heard, Peer, call, resp, run
 
@@ -143,7 +143,7 @@
         engine = Engine(SETTINGS, 1, loop)
         async with Peer() as peer:
             servers = engine.backend = Upstream(engine, SETTINGS, 15_000_000, 8, loop)
-            servers.update_endpoints(at(peer.port), True)
+            servers.update_endpoints(endpoint_at(peer.port), True)
             clients = ClientListener(engine, TERMS, 8, loop)
             await clients.listen(LOCAL, 0)
             line = Line(engine, peer, clients, servers)
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -12,7 +12,7 @@
 from rushroad.proxy import discovery as module
 from rushroad.proxy.discovery import Address, Discovery
 from rushroad.proxy.nonblocking_log import _Log
-from tests.support.loopback import LOCAL, NAMES, Late, Peer, run
+from tests.support.loopback import LOCAL, NAMES, DelayedConnectLoop, Peer, run
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 Told = asyncio.Queue[tuple[EndpointUpdate, list[tuple[Endpoint, Address]]]]
@@ -290,7 +290,7 @@
     async def scenario() -> None:
         told: Told = asyncio.Queue()
         async with Peer() as peer, Peer() as other:
-            late = Late()
+            late = DelayedConnectLoop()
             loop = cast(asyncio.AbstractEventLoop, late)
             address, chance = (LOCAL, peer.port), random.Random(1)
             watch = Discovery(address, 41, NAMES, lambda *news: told.put_nowait(news), loop, chance)
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -22,7 +22,7 @@
 from rushroad.proxy.upstream import Connection, Upstream
 from tests.integration.test_process import config, connect, free_port, start
 from tests.proxy.test_discovery import HEAD, chunk, line
-from tests.proxy.test_upstream import FAST, OK, held
+from tests.support.attempts import FAST, OK, request_in_flight
 from tests.support.loopback import LOCAL, NAMES, Heard, Peer, call, run
 
 LONG = 20_000  # entries
@@ -289,7 +289,7 @@
 
     def send(self, server: int) -> None:
         self.count += 1
-        attempt = Attempt(self.count, 0, f"s-{server}", held(10, 0), self.heard.clock.now())
+        attempt = Attempt(self.count, 0, f"s-{server}", request_in_flight(10, 0), self.heard.clock.now())
         self.servers.start(attempt, 10_000_000)
 
     async def result(self) -> Result:
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -36,9 +36,9 @@
 from rushroad.proxy.client_connection import ClientListener
 from rushroad.proxy.engine import Clock, Engine
 from rushroad.proxy.upstream import Upstream
-from tests.proxy.test_upstream import LONG, OK, at
+from tests.support.attempts import LONG, OK, endpoint_at
 from tests.support.gateway_driver import SETTINGS
-from tests.support.loopback import LOCAL, TERMS, Late, Peer, call, resp, run
+from tests.support.loopback import LOCAL, TERMS, DelayedConnectLoop, Peer, call, resp, run
 
 Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 Script = Callable[[Event], Iterator[Action]]
@@ -88,7 +88,7 @@
         engine = Engine(SETTINGS, 1, loop)
         async with Peer() as peer:
             servers = engine.backend = Upstream(engine, SETTINGS, 15_000_000, 8, loop)
-            servers.update_endpoints(at(peer.port), True)
+            servers.update_endpoints(endpoint_at(peer.port), True)
             engine.counter = Counts(engine)
             clients = ClientListener(engine, TERMS, 8, loop)
             await clients.listen(LOCAL, 0)
@@ -250,7 +250,7 @@
 
     async def scenario(engine: Engine, peer: Peer, ends: Ends) -> None:
         assert isinstance(engine.backend, Upstream)
-        late = Late()
+        late = DelayedConnectLoop()
         engine.backend.loop = typing.cast(asyncio.AbstractEventLoop, late)
         ends[1].write(call(1))
         await late.asked.wait()
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -3,40 +3,17 @@
 import asyncio
 import errno
 import socket
-from dataclasses import replace
 from types import SimpleNamespace
-from typing import Any, cast
+from typing import cast
 
 import pytest
 
-from rushroad.policy.events import Endpoint, EndpointState, Result
-from rushroad.policy.settings import Limits
+from rushroad.policy.events import EndpointState, Result
 from rushroad.proxy.engine import Attempt, Engine
 from rushroad.proxy.upstream import Ages, Upstream
-from tests.support.gateway_driver import IDEMPOTENT, NOT_IDEMPOTENT, SETTINGS
-from tests.support.loopback import LOCAL, Heard, Late, Peer, resp, run
-
-OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$18\r\ninflight=7,queue=2\r\n"
-LONG = 10_000_000  # microseconds
-FAST = replace(SETTINGS, limits=Limits(max_attempts=4, connect_timeout=250_000))
-
-
-class Stub:
-    """A call with a command of any size."""
-
-    def __init__(self, size: int = 10, class_index: int = IDEMPOTENT) -> None:
-        self.size, self.class_index = size, class_index
-
-    def has_left(self) -> bool:
-        return False
-
-    def command(self, wait: int) -> bytes:
-        return resp(b"CALL.GET", b"x" * self.size)
-
-
-def held(size: int, class_index: int) -> Any:
-    """A request with a command of any size, as far as an attempt needs one."""
-    return SimpleNamespace(call=Stub(size, class_index))
+from tests.support.attempts import FAST, LONG, OK, endpoint_at, request_in_flight
+from tests.support.gateway_driver import IDEMPOTENT, NOT_IDEMPOTENT
+from tests.support.loopback import LOCAL, DelayedConnectLoop, Heard, Peer, resp, run
 
 
 @pytest.fixture(autouse=True)
@@ -45,12 +22,6 @@
     monkeypatch.setattr("rushroad.proxy.upstream.SETTLE", 0.0)
 
 
-def at(
-    port: int, state: EndpointState = EndpointState.READY, started: int = 0
-) -> list[tuple[Endpoint, tuple[str, int]]]:
-    return [(Endpoint("s-1", state, started_at=started), (LOCAL, port))]
-
-
 class Bench:
     """The servers' side and who it tells."""
 
@@ -58,11 +29,11 @@
         self.heard, self.next = Heard(), 0
         loop = asyncio.get_running_loop()
         self.servers = Upstream(cast(Engine, self.heard), FAST, 60_000_000, most, loop)
-        self.servers.update_endpoints(at(port), True)
+        self.servers.update_endpoints(endpoint_at(port), True)
 
     def send(self, timeout: int = LONG, size: int = 10, class_index: int = IDEMPOTENT) -> Attempt:
         self.next += 1
-        attempt = Attempt(self.next, 0, "s-1", held(size, class_index), self.heard.clock.now())
+        attempt = Attempt(self.next, 0, "s-1", request_in_flight(size, class_index), self.heard.clock.now())
         self.servers.start(attempt, timeout)
         return attempt
 
@@ -230,9 +201,9 @@
         async with Peer() as peer:
             bench = Bench(peer.port)
             bench.send(size=11)
-            bench.servers.update_endpoints(at(peer.port, state), False)
+            bench.servers.update_endpoints(endpoint_at(peer.port, state), False)
             assert await bench.end() == (1, Result.CONNECT_FAILED)
-            bench.servers.update_endpoints(at(peer.port), False)
+            bench.servers.update_endpoints(endpoint_at(peer.port), False)
             bench.send(size=12)
             while (heard := (await peer.hear())[1]) == b"":
                 pass
@@ -245,11 +216,11 @@
     # Another server may be there by then, and what its connection does says nothing of this one.
     async def scenario() -> None:
         async with Peer() as peer:
-            bench, late = Bench(peer.port), Late()
+            bench, late = Bench(peer.port), DelayedConnectLoop()
             bench.servers.loop = cast(asyncio.AbstractEventLoop, late)
             bench.send(size=11)
             await late.asked.wait()
-            bench.servers.update_endpoints(at(peer.port, started=7), False)
+            bench.servers.update_endpoints(endpoint_at(peer.port, started=7), False)
             late.go_on.set()
             assert await bench.end() == (1, Result.NOT_FORWARDED)
             assert (await peer.hear())[1] == b""
@@ -315,7 +286,7 @@
             bench.send()
             await peer.answer(OK)
             await bench.end()
-            bench.servers.update_endpoints(at(peer.port, started=7), False)
+            bench.servers.update_endpoints(endpoint_at(peer.port, started=7), False)
             assert (await peer.hear())[1] == b""
 
     run(scenario)
@@ -454,7 +425,7 @@
             bench = Bench(peer.port)
             bench.send()
             writer, _ = await peer.hear()
-            bench.servers.update_endpoints(at(peer.port, started=7), False)
+            bench.servers.update_endpoints(endpoint_at(peer.port, started=7), False)
             writer.write(OK)
             assert await bench.end() == (1, Result.OK)
             assert await peer.hear() == (writer, b"")
@@ -469,7 +440,7 @@
             bench = Bench(peer.port)
             bench.send()
             writer, _ = await peer.hear()
-            bench.servers.update_endpoints(at(peer.port, EndpointState.REMOVED), False)
+            bench.servers.update_endpoints(endpoint_at(peer.port, EndpointState.REMOVED), False)
             bench.servers._sweep()
             assert set(bench.servers._pools) == {"s-1"}
             writer.write(OK)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -117,8 +117,8 @@
             call.failed()
 
 
-class Late:
-    """A loop whose connects are held up, and come up although they have been cancelled."""
+class DelayedConnectLoop:
+    """An event loop that delays connects until `go_on` is set; a cancelled one still comes up later."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
