--- a/rushroad/bench/stand_ins/rate_servers.py
+++ b/rushroad/bench/stand_ins/rate_servers.py
@@ -56,7 +56,7 @@
         try:
             while (words := self._reader.next()) is not None:
                 self._begin(cast(list[bytes], words))
-        except resp.Malformed:
+        except resp.ProtocolError:
             self._servers.figures["syntax"] += 1
             self._transport.abort()
 
--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -222,7 +222,7 @@
                     break
                 bad |= not self._take(cast(list[bytes], words))
                 taken += 1
-        except resp.Malformed as wrong:
+        except resp.ProtocolError as wrong:
             self.reject(f"Protocol error: {wrong}")
             return
         if self._ending:
--- a/rushroad/proxy/resp.py
+++ b/rushroad/proxy/resp.py
@@ -1,123 +1,145 @@
-"""One bounded reader of RESP2, for clients' commands and servers' answers, and its writer.
+"""A bounded reader of RESP2, for clients' commands and endpoints' responses, and a writer of commands.
 
-A library's reader makes room for whatever length is announced, before the bytes are there. Here each type,
-count and length is judged when its line is whole, so that no peer makes the gateway hold more than a message.
+A library's reader makes room for whatever length is announced, before the bytes have come. This one checks
+each type, count and length as soon as its line is whole, so that no peer makes the gateway hold more than
+one message.
 """
 
 from __future__ import annotations
 
-MOST_VALUE = 64 * 1024  # bytes in a string
-MOST_MESSAGE = MOST_VALUE + 4 * 1024  # bytes in all strings of a message: one value and what goes with it
-MOST_HEADER = 16  # bytes in the line of a count or a length
-MOST_LINE = 512  # bytes in an error line
-BULK, ARRAY, ERROR = b"$", b"*", b"-"
+MAX_VALUE_BYTES = 64 * 1024  # of one string
+MAX_MESSAGE_BYTES = MAX_VALUE_BYTES + 4 * 1024  # of all strings of a message: one value and what goes with it
+MAX_HEADER_BYTES = 16  # of the line of a count or a length
+MAX_LINE_BYTES = 512  # of an error line
+BULK_STRING, ARRAY, ERROR = b"$", b"*", b"-"
+NULL_BULK_STRING, NULL_ARRAY = b"$-1", b"*-1"
+UNKNOWN_LENGTH = -1
 
 
-class Malformed(ValueError):
-    """What came is no message, or none that may come here; what follows it can't be told apart."""
+class ProtocolError(ValueError):
+    """The bytes are no message, or none that may come here; where the next one begins can't be known.
+
+    The text says what is wrong. Clients are sent it.
+    """
 
 
 def pack(words: list[bytes]) -> bytes:
-    """A command, or any array of strings."""
+    """Encode a command, or any array of strings."""
     return b"*%d\r\n%b" % (len(words), b"".join([b"$%d\r\n%b\r\n" % (len(word), word) for word in words]))
 
 
 class Reader:
-    """Reads flat arrays of strings; where they are answers, also error lines, and items that are no strings.
+    """Reads flat arrays of strings; of responses also error lines, and items that are no strings.
 
     An item that is whole but no string (null, a number, a line) is given as None.
     """
 
-    __slots__ = ("_answers", "_at", "_before", "_bytes", "_data", "_items", "_length", "_missing", "_most")
-
-    def __init__(self, most: int, answers: bool = False) -> None:
-        self._most, self._answers = most, answers
-        self._data, self._at = b"", 0  # what has come, and how much of it has been read
-        self._before = 0  # bytes that were read before those
+    __slots__ = (
+        "_consumed_before",
+        "_data",
+        "_items",
+        "_items_missing",
+        "_max_items",
+        "_message_bytes",
+        "_position",
+        "_reads_responses",
+        "_string_length",
+    )
+
+    def __init__(self, max_items: int, responses: bool = False) -> None:
+        """Bound arrays to so many items. With `responses`, read an endpoint's responses, not commands."""
+        self._max_items, self._reads_responses = max_items, responses
+        self._data, self._position = b"", 0  # bytes at hand, and how many of them have been read
+        self._consumed_before = 0  # bytes that were read before those at hand
         self._items: list[bytes | None] = []
-        self._missing = 0  # items of the array at hand that have not come
-        self._length = -1  # of the string at hand; -1 before it is known
-        self._bytes = 0  # announced for the array at hand
+        self._items_missing = 0  # of the current array
+        self._string_length = UNKNOWN_LENGTH  # of the current string
+        self._message_bytes = 0  # lengths announced so far in the current array
 
     def feed(self, data: bytes) -> None:
-        """Take what has come."""
-        self._before += self._at
-        self._data = self._data[self._at :] + data if self._at < len(self._data) else data
-        self._at = 0
+        """Take bytes that were received."""
+        self._consumed_before += self._position
+        self._data = self._data[self._position :] + data if self._position < len(self._data) else data
+        self._position = 0
 
     def empty(self) -> bool:
-        """True between messages, with nothing behind the last."""
-        return self._at >= len(self._data) and not self._missing
+        """Return whether the last message is whole and nothing follows it."""
+        return self._position >= len(self._data) and not self._items_missing
 
     @property
     def consumed(self) -> int:
-        """Bytes that have been read, from the first that came; after a message, its end."""
-        return self._before + self._at
+        """Bytes read since the first that came; after a message, the position of its end."""
+        return self._consumed_before + self._position
 
     @property
     def waiting(self) -> int:
         """Bytes that have come and have not been read."""
-        return len(self._data) - self._at
+        return len(self._data) - self._position
 
     def next(self) -> list[bytes | None] | bytes | None:
-        """The next message: an array, or an error line without its first byte; None until more has come."""
-        if not self._missing:
-            line = self._line(ARRAY + ERROR if self._answers else ARRAY)
+        """Return the next message: an array, or an error line without its first byte; None if none is whole.
+
+        Raises ProtocolError for bytes that are no message.
+        """
+        if not self._items_missing:
+            line = self._read_line(ARRAY + ERROR if self._reads_responses else ARRAY)
             if line is None:
                 return None
             if line[:1] == ERROR:
                 return line[1:]
-            self._missing = self._number(line, self._most)
-            if not self._missing:
-                raise Malformed("an array of nothing")
-            self._items, self._bytes = [], 0
-        while self._missing:
-            if not self._item():
+            self._items_missing = self._parse_number(line, self._max_items)
+            if not self._items_missing:
+                raise ProtocolError("an array of nothing")
+            self._items, self._message_bytes = [], 0
+        while self._items_missing:
+            if not self._read_item():
                 return None
-            self._missing -= 1
+            self._items_missing -= 1
         return self._items
 
-    def _item(self) -> bool:
-        if self._length < 0:
-            line = self._line(b"$:+-*" if self._answers and self._items else BULK)
+    def _read_item(self) -> bool:
+        """Read one item of the current array; false until it is whole."""
+        if self._string_length < 0:
+            line = self._read_line(b"$:+-*" if self._reads_responses and self._items else BULK_STRING)
             if line is None:
                 return False
-            if line[:1] != BULK or line == b"$-1":
-                if not self._answers or not self._items or (line[:1] == ARRAY and line != b"*-1"):
-                    raise Malformed("not a string")
+            if line[:1] != BULK_STRING or line == NULL_BULK_STRING:
+                # Only a response's second and third items may be no string, and none may be an array.
+                if not self._reads_responses or not self._items or (line[:1] == ARRAY and line != NULL_ARRAY):
+                    raise ProtocolError("not a string")
                 self._items.append(None)
                 return True
-            self._length = self._number(line, MOST_VALUE)
-            self._bytes += self._length
-            if self._bytes > MOST_MESSAGE:
-                raise Malformed("too much for one message")
-        end = self._at + self._length
+            self._string_length = self._parse_number(line, MAX_VALUE_BYTES)
+            self._message_bytes += self._string_length
+            if self._message_bytes > MAX_MESSAGE_BYTES:
+                raise ProtocolError("too much for one message")
+        end = self._position + self._string_length
         if len(self._data) < end + 2:
             return False
         if self._data[end : end + 2] != b"\r\n":
-            raise Malformed("a length that does not fit")
-        self._items.append(self._data[self._at : end])
-        self._at, self._length = end + 2, -1
+            raise ProtocolError("a length that does not fit")
+        self._items.append(self._data[self._position : end])
+        self._position, self._string_length = end + 2, UNKNOWN_LENGTH
         return True
 
-    def _line(self, types: bytes) -> bytes | None:
-        """A line that begins with one of these types; judged before its end has come."""
-        data, at = self._data, self._at
-        if at >= len(data):
+    def _read_line(self, types: bytes) -> bytes | None:
+        """Read a line that begins with one of these types; it is checked before its end has come."""
+        data, start = self._data, self._position
+        if start >= len(data):
             return None
-        if data[at] not in types:
-            raise Malformed("an unexpected type")
-        most = MOST_HEADER if data[at] in b"$*" else MOST_LINE
-        end = data.find(b"\r\n", at, at + most)
+        if data[start] not in types:
+            raise ProtocolError("an unexpected type")
+        max_bytes = MAX_HEADER_BYTES if data[start] in b"$*" else MAX_LINE_BYTES
+        end = data.find(b"\r\n", start, start + max_bytes)
         if end < 0:
-            if len(data) - at >= most:
-                raise Malformed("a line without an end")
+            if len(data) - start >= max_bytes:
+                raise ProtocolError("a line without an end")
             return None
-        self._at = end + 2
-        return data[at:end]
+        self._position = end + 2
+        return data[start:end]
 
     @staticmethod
-    def _number(line: bytes, most: int) -> int:
-        if not line[1:].isdigit() or (number := int(line[1:])) > most:
-            raise Malformed("a count or length out of range")
+    def _parse_number(line: bytes, maximum: int) -> int:
+        if not line[1:].isdigit() or (number := int(line[1:])) > maximum:
+            raise ProtocolError("a count or length out of range")
         return number
--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -79,7 +79,7 @@
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
         self.home = pool.home  # as it was when this connection was begun
-        self._reader = resp.Reader(ANSWER, answers=True)
+        self._reader = resp.Reader(ANSWER, responses=True)
         self._poll = select.poll()
         self.unwritten = False  # part of the request has not left this process
         self.transport: asyncio.Transport | None = None
@@ -136,7 +136,7 @@
         try:
             self._reader.feed(data)
             answer = self._reader.next()
-        except resp.Malformed:
+        except resp.ProtocolError:
             answer = b"malformed"
         if answer is None and attempt is not None:
             return
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -23,7 +23,7 @@
     def has_left(self) -> bool:
         return False
 
-    def command(self, wait: int) -> bytes:
+    def command(self, _wait: int) -> bytes:
         return resp(b"CALL.GET", b"x" * self.size)
 
 
