--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -4,8 +4,6 @@
 
 import asyncio
 import errno
-import math
-import re
 import select
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -14,72 +12,26 @@
 from rushroad.policy.events import Endpoint, EndpointState, Result
 from rushroad.policy.settings import Idempotency, Settings
 from rushroad.proxy import resp
+from rushroad.proxy.endpoint_addresses import EndpointAddresses, PackedAddress, unpack_address
 from rushroad.proxy.engine import Attempt, Engine
+from rushroad.proxy.idle_resets import IdleResetRates
 from rushroad.proxy.transient_errors import RESOURCES, look
+from rushroad.proxy.upstream_response import RESPONSE_ITEMS, ResponseDecoder
 
-AGE = 0.025  # seconds idle in the first step of a table of ages; each further step is twice as long
-AGES = 12
-AGE_FADE = 0.95  # what is left of the earlier evidence with each use: the last twenty count
-AGE_RESETS = 0.2  # share of uses that ended as resets over which an age is not trusted
-AGE_DOUBT = 8.0  # uses without a reset that are taken for granted: one chance reset condemns no age
-AGE_TRIAL = 8  # one in so many requests that are safe to repeat tries an age that is not trusted
 SWEEP = 1.0  # seconds between looks for connections that have idled too long
 SETTLE = 0.03  # seconds that a connection rests after an answer: a second one comes some milliseconds later
-USE = (b"used=", b"cost=")  # how figures on use begin in error lines
-COST = re.compile(rb"(?:^|,)cost=(\d{1,9}(?:\.\d{1,9})?)(?:,|$)")  # the true units, among the figures on use
-ANSWER = 3  # items in an answer: the value, the figures on use, the load report
 OWN_LIMITS = RESOURCES | {errno.EADDRNOTAVAIL}  # errors of a connect that say nothing of the server
 SILENT = 2  # attempts given up in a row after which a server's idle connections are not trusted
 IDLE_PART = 0.5  # of the time after which a server closes an idle connection; a request crossing that is lost
 
 
-def pack_home(address: tuple[str, int], started_at: int) -> str:
-    """Where a server is and when it last started, as one text: it is held for each server there is."""
-    return f"{address[0]}:{address[1]} {started_at}"
-
-
-def read_home(home: str) -> tuple[str, int]:
-    """The address in it."""
-    host, _, port = home.partition(" ")[0].rpartition(":")
-    return host, int(port)
-
-
-class Ages:
-    """How long connections may have been idle: servers, and what stands before them, end them without a word.
-
-    Guards unsafe requests: on such a connection they end as resets, and can't be tried again.
-    """
-
-    def __init__(self) -> None:
-        self._uses, self._resets = [0.0] * AGES, [0.0] * AGES
-        self._tried = 0
-
-    @staticmethod
-    def _step(idle: float) -> int:
-        return min(AGES - 1, int(idle / AGE).bit_length())
-
-    def note(self, idle: float, reset: bool) -> None:
-        """A request was written after so many seconds, and reset before anything came, or not."""
-        step = self._step(idle)
-        self._uses[step] = self._uses[step] * AGE_FADE + 1.0
-        self._resets[step] = self._resets[step] * AGE_FADE + reset
-
-    def trusted(self, idle: float, safe: bool) -> bool:
-        """Whether a request, safe to repeat or not, may go on one that has been idle for so long."""
-        step = self._step(idle)
-        if self._resets[step] <= AGE_RESETS * (self._uses[step] + AGE_DOUBT):
-            return True
-        self._tried += safe
-        return safe and self._tried % AGE_TRIAL == 0
-
-
 class Connection(asyncio.Protocol):
     """A connection to a server. It carries one attempt at a time, so giving one up harms no other."""
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
         self.home = pool.home  # as it was when this connection was begun
-        self._reader = resp.Reader(ANSWER, responses=True)
+        self._reader = resp.Reader(RESPONSE_ITEMS, responses=True)
         self._poll = select.poll()
         self.unwritten = False  # part of the request has not left this process
         self.transport: asyncio.Transport | None = None
@@ -153,7 +105,7 @@
     def note(self, reset: bool) -> None:
         """What became of the first request after an idle time."""
         if self.kept is not None:
-            self.pool.servers.ages.note(self.kept, reset)
+            self.pool.servers.idle_resets.record(self.kept, reset)
             self.kept = None
 
     def drop(self) -> None:
@@ -177,7 +129,7 @@
 class Pool:
     """The connections to one server that has been sent to."""
 
-    def __init__(self, servers: Upstream, name: str, home: str) -> None:
+    def __init__(self, servers: Upstream, name: str, home: PackedAddress) -> None:
         self.servers, self.name = servers, name
         self.home = home
         self.idle: list[Connection] = []  # the last used at the end, so that the others can idle out
@@ -193,7 +145,7 @@
             kept = now - connection.idle_since
             if kept < SETTLE:
                 continue
-            if not self.servers.ages.trusted(kept, safe):
+            if not self.servers.idle_resets.may_reuse(kept, safe):
                 break  # those before it have been idle for longer
             self._wake(connection)
             if connection.clean():
@@ -238,11 +190,15 @@
         self.connecting -= 1
         self.servers.spent.add(self)
 
-    def move(self, home: str) -> None:
-        """News of where it is, and when it started."""
+    def update(self, home: PackedAddress, ready: bool) -> None:
+        """News of where it is, when it started, and whether it may be sent anything new."""
         if home != self.home:
             self.home = home
             self.drop_idle(self.servers.loop.time())
+        if ready:
+            self.stopped = False
+        else:
+            self.stop()
 
     def stop(self) -> None:
         """Nothing new may be written."""
@@ -266,15 +222,10 @@
         self.loop = loop
         self._engine, self._settings, self._most = engine, settings, most
         self._idle = idle / 1e6 * IDLE_PART
-        # How load reports begin in error lines; none where answers hold no reports.
-        answers = not settings.load_reports_by_health_check
-        self._reports = (
-            tuple(b"%b=" % name.encode() for name in settings.load_report_fields) if answers else ()
-        )
-        self.ages = Ages()
+        self._decoder = ResponseDecoder(settings)
+        self.idle_resets = IdleResetRates()
         self._safe = [cls.idempotency is Idempotency.IDEMPOTENT for cls in settings.request_classes]
-        self._homes: dict[str, str] = {}  # of each server that may be sent to
-        self._unnamed: dict[str, str] = {}  # of them, those that a whole list has not named so far
+        self._addresses = EndpointAddresses()
         self._pools: dict[str, Pool] = {}
         self.spent: set[Pool] = set()  # of them, those that may not be needed any more
         self.open = 0  # connections
@@ -295,34 +246,19 @@
         A whole list may come in parts, from a first to a last one: what none of them names is gone then.
         """
         if whole and first:
-            self._unnamed = self._homes.copy()  # a third of a set's time
-        for member, address in lines:
-            self._unnamed.pop(member.name, None)
-            self._note(member, pack_home(address, member.started_at))
+            self._addresses.begin_snapshot()
+        for endpoint, address in lines:
+            packed = self._addresses.update(endpoint, address)
+            if (pool := self._pools.get(endpoint.name)) is not None:
+                pool.update(packed, endpoint.state is EndpointState.READY)
         if whole and last:
-            for name in self._unnamed:
-                self._take_off(name)
-            self._unnamed = {}
-
-    def _note(self, member: Endpoint, home: str) -> None:
-        pool = self._pools.get(member.name)
-        if pool is not None:
-            pool.move(home)
-        if member.state is not EndpointState.READY:
-            self._take_off(member.name)
-            return
-        self._homes[member.name] = home
-        if pool is not None:
-            pool.stopped = False
-
-    def _take_off(self, name: str) -> None:
-        self._homes.pop(name, None)
-        if name in self._pools:
-            self._pools[name].stop()
+            for name in self._addresses.finish_snapshot():
+                if name in self._pools:
+                    self._pools[name].stop()
 
     def _pool(self, name: str) -> Pool | None:
         pool = self._pools.get(name)
-        if pool is None and (home := self._homes.get(name)) is not None:
+        if pool is None and (home := self._addresses.get(name)) is not None:
             pool = self._pools[name] = Pool(self, name, home)
         return pool
 
@@ -357,7 +293,8 @@
         result = Result.CONNECT_FAILED
         try:
             async with asyncio.timeout(self._settings.limits.connect_timeout / 1e6):
-                await self.loop.create_connection(lambda: connection, *read_home(pool.home))
+                address = unpack_address(pool.home)
+                await self.loop.create_connection(lambda: connection, address.host, address.port)
             if connection.own_fault:
                 result = Result.NOT_FORWARDED
         except (OSError, ValueError) as wrong:  # a time-out is an OSError, too
@@ -438,42 +375,9 @@
 
     def answered(self, attempt: Attempt, answer: list[bytes | None] | bytes) -> bool:
         """A server's answer; false where it is none that the protocol knows: no other can follow it."""
-        if isinstance(answer, list):
-            if len(answer) == ANSWER and answer[0] is not None:
-                self.end(attempt, Result.OK, answer[0], self._load(answer[2]), self._cost(answer[1]))
-                return True
-            self.end(attempt, Result.ERROR)
-            return False
-        known = {b"BUSY": Result.OVERLOADED, b"ERR failed": Result.ERROR}
-        words, load = answer, None
-        while words and words not in known:
-            words, _, figures = words.rpartition(b" ")
-            if figures.startswith(self._reports):
-                load = figures
-            elif not figures.startswith(USE):
-                words = b""
-        # Only an exact BUSY tells that it never ran; anything else may have.
-        self.end(attempt, known.get(words, Result.ERROR), load=self._load(load))
-        return words in known
-
-    def _load(self, text: bytes | None) -> tuple[float, ...]:
-        """A load report, in the order of the settings; nothing where it is not one."""
-        if not text:
-            return ()
-        try:
-            given = dict(item.split("=", 1) for item in text.decode().split(","))
-            load = tuple(float(given[name]) for name in self._settings.load_report_fields)
-        except (ValueError, KeyError):
-            return ()
-        return load if all(math.isfinite(figure) and figure >= 0 for figure in load) else ()
-
-    def _cost(self, text: bytes | None) -> float | None:
-        """The true units in the figures on use, where these count; None where they can't be read."""
-        found = COST.search(text) if text and self._settings.settles_units else None
-        if found is None:
-            return None
-        units = float(found[1])
-        return units if 0 < units <= self._settings.max_units else None
+        response = self._decoder.decode(answer)
+        self.end(attempt, response.result, response.value, response.load_report, response.actual_units)
+        return response.known
 
     def end(
         self,
--- /dev/null
+++ b/tests/proxy/test_endpoint_addresses.py
@@ -0,0 +1,59 @@
+"""EndpointAddresses: packed addresses, and which endpoints have one after deltas and snapshots."""
+
+import pytest
+
+from rushroad.policy.events import Endpoint, EndpointState
+from rushroad.proxy.endpoint_addresses import (
+    EndpointAddress,
+    EndpointAddresses,
+    pack_address,
+    unpack_address,
+)
+
+ADDRESS = ("10.0.0.1", 80)
+
+
+@pytest.fixture
+def addresses() -> EndpointAddresses:
+    """A table that knows the endpoints a and b."""
+    table = EndpointAddresses()
+    for name in ("a", "b"):
+        table.update(Endpoint(name, EndpointState.READY, started_at=7), ADDRESS)
+    return table
+
+
+@pytest.mark.parametrize("address", [("10.0.0.1", 80, 0), ("host.zone-1", 65_535, 1 << 53), ("::1", 1, 7)])
+def test_unpacked_address_equals_what_was_packed(address: tuple[str, int, int]) -> None:
+    assert unpack_address(pack_address(*address)) == EndpointAddress(*address)
+
+
+def test_address_of_a_restarted_endpoint_differs(addresses: EndpointAddresses) -> None:
+    before = addresses.get("a")
+    assert addresses.update(Endpoint("a", EndpointState.READY, started_at=8), ADDRESS) != before
+    assert addresses.update(Endpoint("a", EndpointState.READY, started_at=7), ADDRESS) == before
+
+
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
+def test_endpoint_that_is_not_ready_has_no_address(
+    addresses: EndpointAddresses, state: EndpointState
+) -> None:
+    addresses.update(Endpoint("a", state), ADDRESS)
+    assert addresses.get("a") is None
+    assert addresses.get("b") is not None
+
+
+def test_endpoint_that_a_whole_snapshot_does_not_name_is_removed(addresses: EndpointAddresses) -> None:
+    addresses.begin_snapshot()
+    addresses.update(Endpoint("b", EndpointState.READY), ADDRESS)
+    assert addresses.get("a") is not None  # until the snapshot is whole
+    assert list(addresses.finish_snapshot()) == ["a"]
+    assert addresses.get("a") is None
+    assert addresses.get("b") is not None
+
+
+def test_snapshot_that_begins_anew_forgets_the_one_before(addresses: EndpointAddresses) -> None:
+    addresses.begin_snapshot()
+    addresses.update(Endpoint("a", EndpointState.READY), ADDRESS)
+    addresses.begin_snapshot()
+    addresses.update(Endpoint("b", EndpointState.READY), ADDRESS)
+    assert list(addresses.finish_snapshot()) == ["a"]
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -10,7 +10,7 @@
 
 from rushroad.policy.events import EndpointState, Result
 from rushroad.proxy.engine import Attempt, Engine
-from rushroad.proxy.upstream import Ages, Upstream
+from rushroad.proxy.upstream import Upstream
 from tests.support.attempts import FAST, LONG, OK, endpoint_at, request_in_flight
 from tests.support.gateway_driver import IDEMPOTENT, NOT_IDEMPOTENT
 from tests.support.loopback import LOCAL, DelayedConnectLoop, Heard, Peer, resp, run
@@ -45,49 +45,6 @@
         return (await self.heard.ended.get())[:2]
 
 
-@pytest.mark.parametrize(
-    ("reply", "told"),
-    [
-        (OK, (Result.OK, b"value", (2.0, 7.0))),
-        (b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", (Result.OK, b"", ())),
-        (b"-ERR failed\r\n", (Result.ERROR, b"", ())),
-        (b"-ERR failed inflight=1,queue=3\r\n", (Result.ERROR, b"", (3.0, 1.0))),
-        (b"-BUSY\r\n", (Result.OVERLOADED, b"", ())),
-        (b"-BUSY inflight=1,queue=3\r\n", (Result.OVERLOADED, b"", (3.0, 1.0))),
-        (b"-BUSY inflight=nan,queue=3\r\n", (Result.OVERLOADED, b"", ())),
-        (b"-BUSY inflight=-1,queue=3\r\n", (Result.OVERLOADED, b"", ())),
-        (b"-BUSY used=37,cost=4\r\n", (Result.OVERLOADED, b"", ())),
-        (b"-BUSY used=x inflight=1,queue=3\r\n", (Result.OVERLOADED, b"", (3.0, 1.0))),
-        (b"-ERR failed cost=4\r\n", (Result.ERROR, b"", ())),
-        (b"-used=3\r\n", (Result.ERROR, b"", ())),
-        (b"-BUSY odd used=3\r\n", (Result.ERROR, b"", ())),
-        (b"-BUSYX\r\n", (Result.ERROR, b"", ())),
-        (b"-BUSY \xff\r\n", (Result.ERROR, b"", ())),
-        (b"-BUSY at all\r\n", (Result.ERROR, b"", ())),
-        (b"*3\r\n$5\r\nvalue\r\n:7\r\n$9\r\ninflight=\r\n", (Result.OK, b"value", ())),
-        (b"*3\r\n$5\r\nvalue\r\n$-1\r\n$20\r\ninflight=inf,queue=2\r\n", (Result.OK, b"value", ())),
-        (b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n", (Result.ERROR, b"", ())),
-        (b"*3\r\n$3000000000\r\n", (Result.ERROR, b"", ())),
-        (b"*1\r\n$5\r\nvalue\r\n", (Result.ERROR, b"", ())),
-        (b"-" + b"x" * 600, (Result.ERROR, b"", ())),
-        (b"-SYNTAX\r\n", (Result.ERROR, b"", ())),
-        (b"$5\r\nvalue\r\n", (Result.ERROR, b"", ())),
-        (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", (Result.ERROR, b"", ())),
-        (b"what is this\r\n", (Result.ERROR, b"", ())),
-        (b"$-1\r\n", (Result.ERROR, b"", ())),
-    ],
-)
-def test_each_answer_has_its_outcome(reply: bytes, told: tuple[Result, bytes, tuple[float, ...]]) -> None:
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            await peer.answer(reply)
-            assert (await bench.heard.ended.get())[1:] == told
-
-    run(scenario)
-
-
 @pytest.mark.parametrize(
     "reply",
     [
@@ -478,28 +435,6 @@
     run(scenario)
 
 
-def test_how_long_connections_may_idle_is_learnt_from_resets() -> None:
-    # Guards unsafe requests: what stands between may forget a connection long before the server closes it,
-    # and says so only to the next request.
-    ages = Ages()
-    for _ in range(20):
-        ages.note(0.01, False)
-        ages.note(0.3, True)
-    assert ages.trusted(0.01, safe=False)
-    assert not ages.trusted(0.3, safe=False)
-    tries = [ages.trusted(0.3, safe=True) for _ in range(80)]
-    assert tries.count(True) == 10  # so that it shows when they can be trusted again
-    for _ in range(40):
-        ages.note(0.3, False)
-    assert ages.trusted(0.3, safe=False)
-
-
-def test_one_reset_condemns_no_age() -> None:
-    ages = Ages()
-    ages.note(0.3, True)
-    assert ages.trusted(0.3, safe=False)
-
-
 def test_an_unsafe_request_takes_a_new_connection_where_kept_ones_were_reset() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -1,13 +1,17 @@
-"""What tests of attempts share: responses, endpoint updates, and requests of any size."""
+"""What tests of attempts share: an upstream with one endpoint, responses, and requests of any size."""
 
+import asyncio
+from collections.abc import Awaitable, Callable
 from dataclasses import replace
 from types import SimpleNamespace
-from typing import Any
+from typing import Any, cast
 
-from rushroad.policy.events import Endpoint, EndpointState
-from rushroad.policy.settings import Limits
+from rushroad.policy.events import Endpoint, EndpointState, Result
+from rushroad.policy.settings import Limits, Settings
+from rushroad.proxy.engine import Attempt, Engine
+from rushroad.proxy.upstream import Upstream
 from tests.support.gateway_driver import IDEMPOTENT, SETTINGS
-from tests.support.loopback import LOCAL, resp
+from tests.support.loopback import LOCAL, Peer, RecordingEngine, resp, run
 
 OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$18\r\ninflight=7,queue=2\r\n"
 LONG = 10_000_000  # microseconds
@@ -37,3 +41,39 @@
 ) -> list[tuple[Endpoint, tuple[str, int]]]:
     """An update of the endpoint list with one endpoint, s-1, at this port of the loopback device."""
     return [(Endpoint("s-1", state, started_at=started), (LOCAL, port))]
+
+
+class UpstreamHarness:
+    """An upstream that knows one endpoint, s-1, and the engine that it reports to."""
+
+    def __init__(self, port: int, max_connections: int = 8, settings: Settings = FAST) -> None:
+        self.engine, self.attempts = RecordingEngine(), 0
+        loop = asyncio.get_running_loop()
+        self.upstream = Upstream(cast(Engine, self.engine), settings, 60_000_000, max_connections, loop)
+        self.upstream.update_endpoints(endpoint_at(port), True)
+
+    def send(self, timeout: int = LONG, size: int = 10, class_index: int = IDEMPOTENT) -> Attempt:
+        """Start an attempt of a new request; they count from 1."""
+        self.attempts += 1
+        request = request_in_flight(size, class_index)
+        attempt = Attempt(self.attempts, 0, "s-1", request, self.engine.clock.now())
+        self.upstream.start(attempt, timeout)
+        return attempt
+
+    async def outcome(self) -> tuple[int, Result]:
+        """Wait for an attempt to end: the number of its request, and its result."""
+        return (await self.engine.ended.get())[:2]
+
+
+def play_attempts(
+    scenario: Callable[[UpstreamHarness, Peer], Awaitable[None]],
+    max_connections: int = 8,
+    settings: Settings = FAST,
+) -> None:
+    """Play a scenario with an upstream whose one endpoint is a peer."""
+
+    async def start() -> None:
+        async with Peer() as peer:
+            await scenario(UpstreamHarness(peer.port, max_connections, settings), peer)
+
+    run(start)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""Peers on loopback sockets for the tests of the gateway: each says what the test tells it to."""
+"""Stand-ins on loopback sockets for the tests of the gateway, and scenarios that use them."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -37,7 +37,10 @@
 
 
 class Peer:
-    """A listener; `came` holds what was heard, in order, with b"" where a connection ended."""
+    """A server that responds as the test says.
+
+    `came` holds what was received, in order, with b"" where a connection ended.
+    """
 
     def __init__(self) -> None:
         self.came: asyncio.Queue[tuple[asyncio.StreamWriter, bytes]] = asyncio.Queue()
@@ -60,14 +63,14 @@
             self.came.put_nowait((writer, data))
 
     async def hear(self, end: bytes = b"\r\n") -> tuple[asyncio.StreamWriter, bytes]:
-        """What comes next, until it ends like this; or the end of a connection."""
+        """Receive until what came ends like this, or the connection ended."""
         writer, data = await self.came.get()
         while data and not data.endswith(end):
             data += (await self.came.get())[1]
         return writer, data
 
     async def answer(self, reply: bytes) -> bytes:
-        """Hear a command and answer it."""
+        """Receive a command and respond to it."""
         writer, data = await self.hear()
         writer.write(reply)
         return data
@@ -78,8 +81,8 @@
             writer.transport.abort()
 
 
-class Heard:
-    """Stands in for the engine: keeps what the sockets tell it."""
+class RecordingEngine:
+    """Stands in for the engine: records what the client side and the endpoint side tell it."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -87,8 +90,8 @@
         self.calls: asyncio.Queue[Any] = asyncio.Queue()
         self.left: asyncio.Queue[int] = asyncio.Queue()
         self.taken: set[bytes] = set()
-        self.true_units: list[float | None] = []
-        self.unanswered: list[Any] = []  # what the end of the process answers
+        self.actual_units: list[float | None] = []
+        self.unanswered: list[Any] = []  # what `give_up` answers, at the end of the process
         self._count = 0
 
     def attempt_finished(
@@ -99,7 +102,7 @@
         load: tuple[float, ...] = (),
         true_units: float | None = None,
     ) -> None:
-        self.true_units.append(true_units)
+        self.actual_units.append(true_units)
         self.ended.put_nowait((attempt.request_id, result, value, load))
 
     def submit(self, call: Any) -> int:
@@ -117,6 +120,9 @@
             call.failed()
 
 
+Heard = RecordingEngine  # the name that other test files use
+
+
 class DelayedConnectLoop:
     """An event loop that delays connects until `go_on` is set; a cancelled one still comes up later."""
 
