--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -1,416 +1,226 @@
-"""The servers' side: connection pools, attempts and how they end."""
+"""The endpoint side: starts attempts, times them out and ends them, within the limit on connections."""
 
 from __future__ import annotations
 
 import asyncio
 import errno
-import select
-from collections import OrderedDict
 from collections.abc import Iterable
-from typing import cast
 
 from rushroad.policy.events import Endpoint, EndpointState, Result
 from rushroad.policy.settings import Idempotency, Settings
-from rushroad.proxy import resp
-from rushroad.proxy.endpoint_addresses import EndpointAddresses, PackedAddress, unpack_address
+from rushroad.proxy.connection_limit import ConnectionLimit
+from rushroad.proxy.endpoint_addresses import EndpointAddresses, unpack_address
+from rushroad.proxy.endpoint_pool import EndpointPool
 from rushroad.proxy.engine import Attempt, Engine
 from rushroad.proxy.idle_resets import IdleResetRates
-from rushroad.proxy.transient_errors import RESOURCES, look
-from rushroad.proxy.upstream_response import RESPONSE_ITEMS, ResponseDecoder
+from rushroad.proxy.transient_errors import RESOURCES
+from rushroad.proxy.upstream_connection import UpstreamConnection
+from rushroad.proxy.upstream_response import ResponseDecoder
 
-SWEEP = 1.0  # seconds between looks for connections that have idled too long
-SETTLE = 0.03  # seconds that a connection rests after an answer: a second one comes some milliseconds later
-OWN_LIMITS = RESOURCES | {errno.EADDRNOTAVAIL}  # errors of a connect that say nothing of the server
-SILENT = 2  # attempts given up in a row after which a server's idle connections are not trusted
-IDLE_PART = 0.5  # of the time after which a server closes an idle connection; a request crossing that is lost
+IDLE_SWEEP_INTERVAL = 1.0  # seconds
+# Fraction of the endpoints' idle timeout after which idle connections are closed here: a request that crosses
+# an endpoint's close on the way is lost, and one that is not idempotent can't be tried again.
+IDLE_FRACTION = 0.5
+LOCAL_ERRORS = RESOURCES | {errno.EADDRNOTAVAIL}  # of a connect; they say nothing of the endpoint
 
 
-class Connection(asyncio.Protocol):
-    """A connection to a server. It carries one attempt at a time, so giving one up harms no other."""
+class AttemptInFlight:
+    """What an attempt in flight waits for."""
 
-    def __init__(self, pool: Pool) -> None:
-        self.pool = pool
-        self.home = pool.home  # as it was when this connection was begun
-        self._reader = resp.Reader(RESPONSE_ITEMS, responses=True)
-        self._poll = select.poll()
-        self.unwritten = False  # part of the request has not left this process
-        self.transport: asyncio.Transport | None = None
-        self.attempt: Attempt | None = None
-        self.idle_since = 0.0
-        self.kept: float | None = None  # how long it had idled before its attempt, until that is answered
-        self._dropped = False
-        self.own_fault = False  # it came up and was dropped, for which the server can do nothing
+    __slots__ = ("connection", "timer")
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Up. With the limit at 0, pause_writing tells of every byte that has not been written."""
-        transport = cast(asyncio.Transport, transport)
-        transport.set_write_buffer_limits(high=0)
-        self.transport = transport
-        try:
-            self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
-        except OSError:  # the system can't tell its address for a moment, for which the loop asks
-            self.own_fault = True
-            self.drop()
-        if self._dropped:  # given up while it came up
-            self.drop()
-
-    def usable(self) -> bool:
-        """False where the other end has closed it, though it has not been told: a write would be lost."""
-        return self.transport is not None and not self.transport.is_closing()
-
-    def clean(self) -> bool:
-        """False where anything, also its end, waits to be read: more of the last answer, or a server's close.
-
-        Guards the next attempt on it, which would be served what was made for another request, or be reset.
-        """
-        return self.usable() and look(self._poll) == []
-
-    def carry(self, attempt: Attempt, command: bytes) -> None:
-        """Send a request."""
-        assert self.transport is not None
-        self.attempt = attempt
-        self.transport.write(command)
-
-    def pause_writing(self) -> None:
-        """Bytes wait in this process."""
-        self.unwritten = True
-
-    def resume_writing(self) -> None:
-        """All bytes have left."""
-        self.unwritten = False
-
-    def data_received(self, data: bytes) -> None:
-        """An answer, or a part of one; anything else ends the connection."""
-        attempt = self.attempt
-        self.pool.silent = 0
-        self.note(False)
-        answer: list[bytes | None] | bytes | None
-        try:
-            self._reader.feed(data)
-            answer = self._reader.next()
-        except resp.ProtocolError:
-            answer = b"malformed"
-        if answer is None and attempt is not None:
-            return
-        # It is used again only after an answer that is known, with nothing behind it.
-        good = attempt is not None and self._reader.empty() and not self.unwritten
-        self.attempt = None
-        if attempt is not None and answer is not None:
-            good &= self.pool.servers.answered(attempt, answer)
-        if good and self.transport is not None:
-            self.pool.give(self)
-        else:
-            self.drop()
-
-    def note(self, reset: bool) -> None:
-        """What became of the first request after an idle time."""
-        if self.kept is not None:
-            self.pool.servers.idle_resets.record(self.kept, reset)
-            self.kept = None
-
-    def drop(self) -> None:
-        """Close at once; what was to be written is not written later."""
-        self._dropped = True
-        if self.transport is not None:
-            self.transport.abort()
-            self.transport = None
-        self.pool.forget(self)
-
-    def connection_lost(self, error: Exception | None) -> None:
-        """Ended by either side. An attempt has never run only if its last byte was still here."""
-        self.transport = None
-        self.pool.forget(self)
-        attempt, self.attempt = self.attempt, None
-        if attempt is not None:
-            self.note(True)
-            self.pool.servers.end(attempt, Result.CONNECT_FAILED if self.unwritten else Result.RESET)
-
-
-class Pool:
-    """The connections to one server that has been sent to."""
-
-    def __init__(self, servers: Upstream, name: str, home: PackedAddress) -> None:
-        self.servers, self.name = servers, name
-        self.home = home
-        self.idle: list[Connection] = []  # the last used at the end, so that the others can idle out
-        self.all: set[Connection] = set()
-        self.connecting = 0  # connections that have not come up yet
-        self.silent = 0  # attempts given up since anything came from it
-        self.stopped = False  # it drains or is gone: nothing new may be written
-
-    def take(self, safe: bool) -> Connection | None:
-        """An idle connection that an attempt can go on: the last used of those that have settled."""
-        now = self.servers.loop.time()
-        for connection in reversed(self.idle):
-            kept = now - connection.idle_since
-            if kept < SETTLE:
-                continue
-            if not self.servers.idle_resets.may_reuse(kept, safe):
-                break  # those before it have been idle for longer
-            self._wake(connection)
-            if connection.clean():
-                connection.kept = kept
-                return connection
-            connection.drop()
-        return None
-
-    def give(self, connection: Connection) -> None:
-        """A connection carries nothing any more."""
-        if self.stopped or connection.home != self.home:
-            connection.drop()
-        elif connection in self.all:
-            connection.idle_since = self.servers.loop.time()
-            self.idle.append(connection)
-            self.servers.idle[connection] = None
-
-    def _wake(self, connection: Connection) -> None:
-        self.idle.remove(connection)
-        del self.servers.idle[connection]
-
-    def add(self, connection: Connection) -> None:
-        """A connection has come up."""
-        self.all.add(connection)
-        self.servers.open += 1
-
-    def forget(self, connection: Connection) -> None:
-        """A connection has ended."""
-        if connection in self.all:
-            self.all.remove(connection)
-            self.servers.open -= 1
-        if connection in self.servers.idle:
-            self._wake(connection)
-        self.servers.spent.add(self)
-
-    def needed(self) -> bool:
-        """It is kept for its connections, and for what their silence tells."""
-        return bool(self.all or self.connecting or (self.silent and not self.stopped))
-
-    def connected(self, _: object) -> None:
-        """A connection has come up, or has been given up."""
-        self.connecting -= 1
-        self.servers.spent.add(self)
-
-    def update(self, home: PackedAddress, ready: bool) -> None:
-        """News of where it is, when it started, and whether it may be sent anything new."""
-        if home != self.home:
-            self.home = home
-            self.drop_idle(self.servers.loop.time())
-        if ready:
-            self.stopped = False
-        else:
-            self.stop()
-
-    def stop(self) -> None:
-        """Nothing new may be written."""
-        if not self.stopped:
-            self.stopped = True
-            self.drop_idle(self.servers.loop.time())
-            self.servers.spent.add(self)
-
-    def drop_idle(self, before: float) -> None:
-        """Close what has idled since before then."""
-        for connection in [c for c in self.idle if c.idle_since <= before]:
-            connection.drop()
+    def __init__(self, timer: asyncio.TimerHandle) -> None:
+        self.timer = timer  # ends it as TIMEOUT
+        self.connection: UpstreamConnection | None = None  # None until its command is written
 
 
 class Upstream:
-    """All servers that discovery has named, and the attempts that are out."""
+    """All endpoints that may be sent requests, and the attempts in flight."""
 
     def __init__(
-        self, engine: Engine, settings: Settings, idle: int, most: int, loop: asyncio.AbstractEventLoop
+        self,
+        engine: Engine,
+        settings: Settings,
+        idle_timeout: int,
+        max_connections: int,
+        loop: asyncio.AbstractEventLoop,
     ) -> None:
+        """Start the idle sweep. idle_timeout: microseconds after which endpoints close idle connections."""
         self.loop = loop
-        self._engine, self._settings, self._most = engine, settings, most
-        self._idle = idle / 1e6 * IDLE_PART
-        self._decoder = ResponseDecoder(settings)
+        self.limit = ConnectionLimit(max_connections)
+        self.decoder = ResponseDecoder(settings)
         self.idle_resets = IdleResetRates()
-        self._safe = [cls.idempotency is Idempotency.IDEMPOTENT for cls in settings.request_classes]
+        self.maybe_unused: set[EndpointPool] = set()  # pools that the next idle sweep looks at
+        self._engine = engine
+        self._connect_timeout = settings.limits.connect_timeout / 1e6  # seconds
+        self._max_idle_time = idle_timeout / 1e6 * IDLE_FRACTION  # seconds
+        self._idempotent = [cls.idempotency is Idempotency.IDEMPOTENT for cls in settings.request_classes]
         self._addresses = EndpointAddresses()
-        self._pools: dict[str, Pool] = {}
-        self.spent: set[Pool] = set()  # of them, those that may not be needed any more
-        self.open = 0  # connections
-        self.idle: OrderedDict[Connection, None] = OrderedDict()  # of all pools, the longest idle first
-        self._out: dict[Attempt, tuple[asyncio.TimerHandle, Connection | None]] = {}
-        self._connects: dict[Attempt, asyncio.Task[None]] = {}
-        self._sweep()
+        self._pools: dict[str, EndpointPool] = {}
+        self._in_flight: dict[Attempt, AttemptInFlight] = {}
+        self._connecting: dict[Attempt, asyncio.Task[None]] = {}
+        self._sweep_idle()
 
     def update_endpoints(
         self,
-        lines: Iterable[tuple[Endpoint, tuple[str, int]]],
-        whole: bool,
+        entries: Iterable[tuple[Endpoint, tuple[str, int]]],
+        is_snapshot: bool,
         first: bool = True,
         last: bool = True,
     ) -> None:
-        """News of the list: addresses, restarts, and servers that may be sent nothing new.
+        """Take a delta or a part of a snapshot of the endpoint list, each entry with its host and port.
 
-        A whole list may come in parts, from a first to a last one: what none of them names is gone then.
+        A snapshot may come in parts, from a first to a last one; endpoints that none of them names are
+        removed after the last.
         """
-        if whole and first:
+        if is_snapshot and first:
             self._addresses.begin_snapshot()
-        for endpoint, address in lines:
+        for endpoint, address in entries:
             packed = self._addresses.update(endpoint, address)
             if (pool := self._pools.get(endpoint.name)) is not None:
                 pool.update(packed, endpoint.state is EndpointState.READY)
-        if whole and last:
+        if is_snapshot and last:
             for name in self._addresses.finish_snapshot():
-                if name in self._pools:
-                    self._pools[name].stop()
-
-    def _pool(self, name: str) -> Pool | None:
-        pool = self._pools.get(name)
-        if pool is None and (home := self._addresses.get(name)) is not None:
-            pool = self._pools[name] = Pool(self, name, home)
-        return pool
+                if (pool := self._pools.get(name)) is not None:
+                    pool.stop()
 
     def start(self, attempt: Attempt, timeout: int) -> None:
-        """Start an attempt, on an idle connection or a new one."""
+        """Start an attempt, on an idle connection or a new one; exactly one `attempt_finished` follows.
+
+        timeout: microseconds.
+        """
         timer = self.loop.call_later(max(0, timeout) / 1e6, self._timed_out, attempt)
-        self._out[attempt] = (timer, None)
-        pool = self._pool(attempt.endpoint)
+        self._in_flight[attempt] = AttemptInFlight(timer)
+        pool = self._pools.get(attempt.endpoint) or self._new_pool(attempt.endpoint)
         if pool is None:
             self.end(attempt, Result.CONNECT_FAILED)
-        elif (connection := pool.take(self._safe[attempt.call.class_index])) is not None:
+        elif (connection := pool.acquire(self._idempotent[attempt.call.class_index])) is not None:
             self._write(attempt, connection, timeout)
-        elif not self._room():
-            self.end(attempt, Result.NOT_FORWARDED)  # this gateway's own limit: it says nothing of the server
+        elif not self.limit.make_room(len(self._connecting)):
+            self.end(attempt, Result.NOT_FORWARDED)  # the limit is this gateway's own
         else:
             pool.connecting += 1
             task = self.loop.create_task(self._connect(attempt, pool, self._engine.clock.now() + timeout))
-            task.add_done_callback(pool.connected)
-            self._connects[attempt] = task
-
-    def _room(self) -> bool:
-        """Guards the limit on descriptors: an idle connection elsewhere makes room."""
-        if self.open + len(self._connects) < self._most:
-            return True
-        oldest = next(iter(self.idle), None)
-        if oldest is not None:
-            oldest.drop()
-        return oldest is not None
+            task.add_done_callback(pool.connect_ended)
+            self._connecting[attempt] = task
+
+    def _new_pool(self, name: str) -> EndpointPool | None:
+        address = self._addresses.get(name)
+        if address is None:
+            return None
+        pool = self._pools[name] = EndpointPool(self, name, address)
+        return pool
 
-    async def _connect(self, attempt: Attempt, pool: Pool, deadline: int) -> None:
-        connection = Connection(pool)
-        result = Result.CONNECT_FAILED
+    async def _connect(self, attempt: Attempt, pool: EndpointPool, deadline: int) -> None:
+        """Connect for an attempt and write its command; deadline: microseconds of the engine's clock."""
+        connection = UpstreamConnection(pool)
         try:
-            async with asyncio.timeout(self._settings.limits.connect_timeout / 1e6):
-                address = unpack_address(pool.home)
-                await self.loop.create_connection(lambda: connection, address.host, address.port)
-            if connection.own_fault:
-                result = Result.NOT_FORWARDED
-        except (OSError, ValueError) as wrong:  # a time-out is an OSError, too
-            connection.drop()
-            if isinstance(wrong, OSError) and wrong.errno in OWN_LIMITS:
-                result = Result.NOT_FORWARDED
-        except asyncio.CancelledError:
-            connection.drop()
-            raise
+            failure = await self._open(connection)
         finally:
-            self._connects.pop(attempt, None)
-        if not connection.usable() or pool.stopped:
-            # It did not come up, or what it goes to wants nothing new. When that was told first is not known
-            # here, so none of the drain's grace is used up.
-            connection.drop()
-            self.end(attempt, result)
-        elif connection.home != pool.home:
-            connection.drop()
-            self.end(
-                attempt, Result.NOT_FORWARDED
-            )  # the server is another one now, of which this says nothing
-        elif attempt.call.has_left():  # while it came up; what goes with that has ended the attempt
+            self._connecting.pop(attempt, None)
+        if not connection.is_open() or pool.stopped:
+            # A draining endpoint still takes requests for a grace time, but since when it drains is not known
+            # here, so nothing is sent within the grace either.
+            connection.close()
+            self.end(attempt, failure)
+        elif connection.address != pool.address:
+            connection.close()
+            self.end(attempt, Result.NOT_FORWARDED)  # it says nothing of where the endpoint is now
+        elif attempt.call.has_left():  # the client; the engine, which is told next, withdraws the attempt
             pool.add(connection)
-            pool.give(connection)
+            pool.release(connection)
         else:
             pool.add(connection)
             self._write(attempt, connection, deadline - self._engine.clock.now())
 
-    def _write(self, attempt: Attempt, connection: Connection, wait: int) -> None:
-        self._out[attempt] = (self._out[attempt][0], connection)
-        connection.carry(attempt, attempt.call.command(wait))
+    async def _open(self, connection: UpstreamConnection) -> Result:
+        """Open a connection; returns the result of its attempt where the connection is of no use."""
+        try:
+            async with asyncio.timeout(self._connect_timeout):
+                address = unpack_address(connection.address)
+                await self.loop.create_connection(lambda: connection, address.host, address.port)
+        except (OSError, ValueError) as error:  # a TimeoutError is an OSError, too
+            connection.close()
+            is_local = isinstance(error, OSError) and error.errno in LOCAL_ERRORS
+            return Result.NOT_FORWARDED if is_local else Result.CONNECT_FAILED
+        except asyncio.CancelledError:
+            connection.close()
+            raise
+        return Result.NOT_FORWARDED if connection.failed_locally else Result.CONNECT_FAILED
+
+    def _write(self, attempt: Attempt, connection: UpstreamConnection, timeout: int) -> None:
+        self._in_flight[attempt].connection = connection
+        connection.send(attempt, attempt.call.command(timeout))
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up."""
-        self._leave(attempt, Result.CANCELLED)
+        """Abandon an attempt, which ends as CANCELLED, or as CONNECT_FAILED where nothing was written."""
+        self._abandon(attempt, Result.CANCELLED)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Its request is over: end it as not sent, unless all of it has been written."""
-        out = self._out.get(attempt)
-        if out is None:
+        """End an attempt of a request that is over as NOT_FORWARDED, unless all of it has been written."""
+        in_flight = self._in_flight.get(attempt)
+        if in_flight is None:
             return
-        connection = out[1]
+        connection = in_flight.connection
         if connection is None:
-            if (task := self._connects.pop(attempt, None)) is not None:
-                task.cancel()
+            self._cancel_connect(attempt)
         elif connection.unwritten:
             connection.attempt = None
-            connection.drop()
+            connection.close()
         else:
             return
         self.end(attempt, Result.NOT_FORWARDED)
 
     def _timed_out(self, attempt: Attempt) -> None:
-        self._leave(attempt, Result.TIMEOUT)
+        self._abandon(attempt, Result.TIMEOUT)
 
-    def _leave(self, attempt: Attempt, result: Result) -> None:
+    def _abandon(self, attempt: Attempt, result: Result) -> None:
         """Stop waiting. Where no connection has come up, nothing was written and nothing will be."""
-        _, connection = self._out[attempt]
+        connection = self._in_flight[attempt].connection
         if connection is None:
-            if (task := self._connects.pop(attempt, None)) is not None:
-                task.cancel()
+            self._cancel_connect(attempt)
             self.end(attempt, Result.CONNECT_FAILED)
         else:
             connection.attempt = None
-            connection.drop()
-            self._doubt(connection.pool)
+            connection.close()
+            connection.pool.attempt_abandoned()
             self.end(attempt, result)
 
-    def _doubt(self, pool: Pool) -> None:
-        """Guards against machines that vanished: their connections stay open and silent, or end as resets.
-
-        Where nothing at all has come between attempts given up, idle ones are closed: a new one shows soon,
-        and without harm, that the machine is not there. One attempt given up is more often mere slowness.
-        """
-        pool.silent += 1
-        if pool.silent >= SILENT:
-            pool.drop_idle(self.loop.time())
-
-    def answered(self, attempt: Attempt, answer: list[bytes | None] | bytes) -> bool:
-        """A server's answer; false where it is none that the protocol knows: no other can follow it."""
-        response = self._decoder.decode(answer)
-        self.end(attempt, response.result, response.value, response.load_report, response.actual_units)
-        return response.known
+    def _cancel_connect(self, attempt: Attempt) -> None:
+        if (task := self._connecting.pop(attempt, None)) is not None:
+            task.cancel()
 
     def end(
         self,
         attempt: Attempt,
         result: Result,
         value: bytes = b"",
-        load: tuple[float, ...] = (),
-        true_units: float | None = None,
+        load_report: tuple[float, ...] = (),
+        actual_units: float | None = None,
     ) -> None:
-        """An attempt's one outcome."""
-        out = self._out.pop(attempt, None)
-        if out is not None:
-            out[0].cancel()
-            self._engine.attempt_finished(attempt, result, value, load, true_units)
-
-    def drop_idle(self, now: float) -> None:
-        """Guards unsafe requests: one that crosses the closing of an idle connection can't be retried."""
-        while self.idle and (oldest := next(iter(self.idle))).idle_since <= now - self._idle:
-            oldest.drop()
-
-    def _sweep(self) -> None:
-        """Look for idle connections, and for pools that are not needed any more."""
-        self.drop_idle(self.loop.time())
-        for pool in self.spent:
-            if not pool.needed() and self._pools.get(pool.name) is pool:
+        """Report an attempt's outcome to the engine; later ones of the same attempt are dropped."""
+        in_flight = self._in_flight.pop(attempt, None)
+        if in_flight is not None:
+            in_flight.timer.cancel()
+            self._engine.attempt_finished(attempt, result, value, load_report, actual_units)
+
+    def close_idle(self, now: float) -> None:
+        """Close the connections that have been idle for too long; now: seconds of the loop's clock."""
+        self.limit.close_idle(now - self._max_idle_time)
+
+    def _sweep_idle(self) -> None:
+        """Close what has been idle for too long, and remove pools that are not needed any more."""
+        self.close_idle(self.loop.time())
+        for pool in self.maybe_unused:
+            if not pool.is_needed() and self._pools.get(pool.name) is pool:
                 del self._pools[pool.name]
-        self.spent.clear()
-        self.loop.call_later(SWEEP, self._sweep)
+        self.maybe_unused.clear()
+        self.loop.call_later(IDLE_SWEEP_INTERVAL, self._sweep_idle)
 
     def close(self) -> None:
-        """The end of the process: nothing is owed any more."""
-        for task in list(self._connects.values()):
+        """Close all connections, at the end of the process."""
+        for task in list(self._connecting.values()):
             task.cancel()
         for pool in self._pools.values():
-            for connection in list(pool.all):
-                connection.drop()
+            for connection in list(pool.connections):
+                connection.close()
--- a/rushroad/proxy/upstream_response.py
+++ b/rushroad/proxy/upstream_response.py
@@ -77,12 +77,17 @@
         """Parse a load report into the order of the settings; empty where it is not one."""
         if not text:
             return ()
+        report = []
         try:
             figures = dict(item.split("=", 1) for item in text.decode().split(","))
-            report = tuple(float(figures[name]) for name in self._load_report_fields)
+            for name in self._load_report_fields:
+                figure = float(figures[name])
+                if not math.isfinite(figure) or figure < 0:
+                    return ()
+                report.append(figure)
         except (ValueError, KeyError):
             return ()
-        return report if all(math.isfinite(figure) and figure >= 0 for figure in report) else ()
+        return tuple(report)
 
     def _actual_units(self, usage: bytes | None) -> float | None:
         """Parse the actual units out of usage figures, where the deployment settles by them."""
--- a/tests/integration/test_standing_terms.py
+++ b/tests/integration/test_standing_terms.py
@@ -134,7 +134,7 @@
     monkeypatch: pytest.MonkeyPatch, script: Script, scenario: Callable[[Line], Awaitable[None]]
 ) -> None:
     """Play a scenario on an idle connection to the server, which an attempt takes at once."""
-    monkeypatch.setattr("rushroad.proxy.upstream.SETTLE", 0.0)
+    monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME", 0.0)
     monkeypatch.setattr(engine, "Gateway", Module)
     Module.script, Module.events = staticmethod(script), []
 
@@ -228,7 +228,7 @@
 ) -> None:
     async def scenario(line: Line) -> None:
         line.servers.loop = cast(asyncio.AbstractEventLoop, Instant(lambda: leave(line.client, abrupt)))
-        line.servers.drop_idle(line.servers.loop.time() + 60.0)
+        line.servers.close_idle(line.servers.loop.time() + 60.0)
         with line.connect() as other:
             line.client.sendall(call(2))
             await until(lambda: bool(line.counts.asked))
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -19,7 +19,8 @@
 from rushroad.proxy.engine import Attempt, Engine
 from rushroad.proxy.json_splitter import RUN, Cutter, Run
 from rushroad.proxy.nonblocking_log import _Log
-from rushroad.proxy.upstream import Connection, Upstream
+from rushroad.proxy.upstream import Upstream
+from rushroad.proxy.upstream_connection import UpstreamConnection
 from tests.integration.test_process import config, connect, free_port, start
 from tests.proxy.test_discovery import HEAD, chunk, line
 from tests.support.attempts import FAST, OK, request_in_flight
@@ -33,7 +34,7 @@
 def fresh(monkeypatch: pytest.MonkeyPatch) -> None:
     """What other tests have logged in the same second must not crowd out this one; connections don't rest."""
     monkeypatch.setattr(module, "log", _Log())
-    monkeypatch.setattr("rushroad.proxy.upstream.SETTLE", 0.0)
+    monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME", 0.0)
 
 
 def entries(count: int) -> list[dict[str, Any]]:
@@ -319,9 +320,9 @@
         assert not sender.servers._pools
         await sender.served(7)
         assert list(sender.servers._pools) == ["s-7"]
-        sender.servers.drop_idle(sender.servers.loop.time() + 60.0)
+        sender.servers.close_idle(sender.servers.loop.time() + 60.0)
         assert (await sender.peer.hear())[1] == b""
-        sender.servers._sweep()
+        sender.servers._sweep_idle()
         assert not sender.servers._pools
         await sender.served(7)
 
@@ -355,8 +356,8 @@
         assert await sender.served(2) is third
         assert await sender.served(1) is not second
         sender.tell(range(4), False, state=EndpointState.REMOVED)
-        assert sender.servers.open == 0
-        assert not sender.servers.idle
+        assert sender.servers.limit.open_count == 0
+        assert not sender.servers.limit.idle
 
     send_all(scenario, most=2)
 
@@ -367,11 +368,11 @@
     going = 4042
     gone: set[str] = set()
     late: list[str] = []
-    carry = Connection.carry
+    send = UpstreamConnection.send
 
-    def noted(connection: Connection, attempt: Attempt, command: bytes) -> None:
+    def noted(connection: UpstreamConnection, attempt: Attempt, command: bytes) -> None:
         late.extend({attempt.endpoint} & gone)
-        carry(connection, attempt, command)
+        send(connection, attempt, command)
 
     async def scenario(watched: Watched) -> None:
         async with Peer() as servers:
@@ -393,14 +394,14 @@
             await watched.until(50)
             for n in range(0, going, 100):
                 sender.send(n)
-            results = [await sender.result() for _ in range(sender.count - sender.servers.open)]
+            results = [await sender.result() for _ in range(sender.count - sender.servers.limit.open_count)]
             assert results.count(Result.CONNECT_FAILED) >= going // 100
             assert max(len(members.endpoints) for _, members in watched.news) <= PART
             assert len({turn for turn, _ in watched.news}) == len(watched.news)
             await sender.served(going)
             sender.servers.close()
 
-    monkeypatch.setattr(Connection, "carry", noted)
+    monkeypatch.setattr(UpstreamConnection, "send", noted)
     play(scenario)
     assert len(gone) == going
     assert not late
--- /dev/null
+++ b/tests/proxy/test_endpoint_pool.py
@@ -0,0 +1,195 @@
+"""Pools of connections on loopback sockets: which connection an attempt gets, and when idle ones close."""
+
+import asyncio
+
+import pytest
+
+from rushroad.policy.events import EndpointState, Result
+from tests.support.attempts import OK, UpstreamHarness, endpoint_at, play_attempts
+from tests.support.gateway_driver import NOT_IDEMPOTENT
+from tests.support.loopback import Peer
+
+pytestmark = pytest.mark.usefixtures("no_settle_time")
+
+
+def test_connection_carries_one_attempt_at_a_time_and_is_reused() -> None:
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send()
+        first, _ = await peer.hear()
+        harness.send()
+        second, _ = await peer.hear()
+        assert first is not second
+        second.write(OK)
+        assert await harness.outcome() == (2, Result.OK)
+        harness.send()
+        assert (await peer.hear())[0] is second
+
+    play_attempts(scenario)
+
+
+def test_surplus_response_within_the_settle_time_is_not_served_to_the_next_attempt(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # A second copy may come in a later read, when the connection would carry another attempt.
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send()
+        first, _ = await peer.hear()
+        first.write(OK)
+        await harness.outcome()
+        harness.send()  # the first connection settles
+        second, _ = await peer.hear()
+        assert second is not first
+        first.write(OK)
+        assert (await peer.hear()) == (first, b"")
+        second.write(OK.replace(b"value", b"other"))
+        assert (await harness.engine.ended.get())[2] == b"other"
+
+    monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME", 60.0)
+    play_attempts(scenario)
+
+
+def test_idle_connection_closes_before_the_endpoint_closes_it() -> None:
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send()
+        await peer.answer(OK)
+        await harness.outcome()
+        now = harness.upstream.loop.time()
+        for passed, stays in ((25.0, True), (35.0, False)):  # of the 60 s after which the endpoint closes it
+            harness.upstream.close_idle(now + passed)
+            harness.send()
+            writer, data = await peer.hear()
+            assert (data != b"") is stays
+            if stays:
+                writer.write(OK)
+                await harness.outcome()
+
+    play_attempts(scenario)
+
+
+def test_removed_endpoint_finishes_its_attempts_and_its_idle_connections_close() -> None:
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send()
+        writer, _ = await peer.hear()
+        harness.upstream.update_endpoints([], True)  # a snapshot without it
+        writer.write(OK)
+        assert await harness.outcome() == (1, Result.OK)
+        assert (await peer.hear())[1] == b""
+
+    play_attempts(scenario)
+
+
+def test_idle_connections_close_when_their_endpoint_restarts() -> None:
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send()
+        await peer.answer(OK)
+        await harness.outcome()
+        harness.upstream.update_endpoints(endpoint_at(peer.port, started=7), False)
+        assert (await peer.hear())[1] == b""
+
+    play_attempts(scenario)
+
+
+def test_connection_in_use_closes_after_its_response_when_its_endpoint_restarted() -> None:
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send()
+        writer, _ = await peer.hear()
+        harness.upstream.update_endpoints(endpoint_at(peer.port, started=7), False)
+        writer.write(OK)
+        assert await harness.outcome() == (1, Result.OK)
+        assert await peer.hear() == (writer, b"")
+
+    play_attempts(scenario)
+
+
+@pytest.mark.parametrize("abandoned", [1, 2])
+def test_idle_connections_close_after_two_abandoned_attempts_without_a_byte(abandoned: int) -> None:
+    # The open connections of a machine that vanished say nothing, and end as resets later. A single time-out
+    # is more often mere slowness, and a new connection costs the endpoint work.
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        for _ in range(3):
+            harness.send()
+        received = [await peer.hear() for _ in range(3)]
+        for writer, _ in received:
+            writer.write(OK)
+        for _ in range(3):
+            await harness.outcome()
+        for _ in range(abandoned):
+            attempt = harness.send()
+            assert (await peer.hear())[1] != b""
+            harness.upstream.cancel(attempt)
+            assert await harness.outcome() == (attempt.request_id, Result.CANCELLED)
+            assert (await peer.hear())[1] == b""
+        if abandoned == 2:
+            assert (await peer.hear())[1] == b""  # the third, which was idle
+        harness.send()
+        writer, data = await peer.hear()
+        assert data != b""
+        assert (writer in [before for before, _ in received]) is (abandoned == 1)
+
+    play_attempts(scenario)
+
+
+def test_idle_connections_stay_after_one_slow_response_of_an_endpoint_that_responds_to_others() -> None:
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send()
+        first, _ = await peer.hear()
+        slow = harness.send()
+        second, _ = await peer.hear()
+        first.write(OK)
+        assert await harness.outcome() == (1, Result.OK)
+        harness.upstream.cancel(slow)
+        assert await harness.outcome() == (2, Result.CANCELLED)
+        assert (await peer.hear()) == (second, b"")
+        harness.send()
+        assert (await peer.hear())[0] is first
+
+    play_attempts(scenario)
+
+
+def test_request_that_is_not_idempotent_gets_a_new_connection_after_resets_of_idle_ones() -> None:
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        for _ in range(3):  # each connection is reset at its second request
+            harness.send()
+            writer = await respond(peer, OK)
+            await harness.outcome()
+            harness.send()
+            while not (again := await peer.hear())[1]:
+                pass
+            assert again[0] is writer
+            writer.transport.abort()
+            assert (await harness.outcome())[1] is Result.RESET
+        harness.send()
+        writer = await respond(peer, OK)
+        await harness.outcome()
+        harness.send(class_index=NOT_IDEMPOTENT)
+        assert await respond(peer, OK) is not writer
+        assert (await harness.outcome())[1] is Result.OK
+
+    play_attempts(scenario)
+
+
+def test_pool_of_a_removed_endpoint_goes_when_its_last_attempt_has_ended() -> None:
+    # Endpoints are replaced all day under new names, so pools that stayed would fill the memory.
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        upstream = harness.upstream
+        harness.send()
+        writer, _ = await peer.hear()
+        upstream.update_endpoints(endpoint_at(peer.port, EndpointState.REMOVED), False)
+        upstream._sweep_idle()
+        assert set(upstream._pools) == {"s-1"}
+        writer.write(OK)
+        assert await harness.outcome() == (1, Result.OK)
+        upstream._sweep_idle()
+        assert not upstream._pools
+        harness.send()
+        assert await harness.outcome() == (2, Result.CONNECT_FAILED)
+
+    play_attempts(scenario)
+
+
+async def respond(peer: Peer, response: bytes) -> asyncio.StreamWriter:
+    """Respond to the next command; returns the connection that it came on."""
+    while not (came := await peer.hear())[1]:
+        pass
+    came[0].write(response)
+    return came[0]
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts on loopback sockets: how each way to end is told, and what must never be written."""
+"""Attempts on loopback sockets: how each ends, and when nothing may be written."""
 
 import asyncio
 import errno
@@ -9,459 +9,110 @@
 import pytest
 
 from rushroad.policy.events import EndpointState, Result
-from rushroad.proxy.engine import Attempt, Engine
-from rushroad.proxy.upstream import Upstream
-from tests.support.attempts import FAST, LONG, OK, endpoint_at, request_in_flight
-from tests.support.gateway_driver import IDEMPOTENT, NOT_IDEMPOTENT
-from tests.support.loopback import LOCAL, DelayedConnectLoop, Heard, Peer, resp, run
+from tests.support.attempts import OK, UpstreamHarness, endpoint_at, play_attempts
+from tests.support.loopback import LOCAL, DelayedConnectLoop, Peer, resp, run
 
+pytestmark = pytest.mark.usefixtures("no_settle_time")
 
-@pytest.fixture(autouse=True)
-def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections are used again at once, but where a test is about their rest."""
-    monkeypatch.setattr("rushroad.proxy.upstream.SETTLE", 0.0)
 
-
-class Bench:
-    """The servers' side and who it tells."""
-
-    def __init__(self, port: int, most: int = 8) -> None:
-        self.heard, self.next = Heard(), 0
-        loop = asyncio.get_running_loop()
-        self.servers = Upstream(cast(Engine, self.heard), FAST, 60_000_000, most, loop)
-        self.servers.update_endpoints(endpoint_at(port), True)
-
-    def send(self, timeout: int = LONG, size: int = 10, class_index: int = IDEMPOTENT) -> Attempt:
-        self.next += 1
-        attempt = Attempt(self.next, 0, "s-1", request_in_flight(size, class_index), self.heard.clock.now())
-        self.servers.start(attempt, timeout)
-        return attempt
-
-    def transports(self) -> list[asyncio.Transport]:
-        connections = [c for pool in self.servers._pools.values() for c in pool.all]
-        return [c.transport for c in connections if c.transport is not None]
-
-    async def end(self) -> tuple[int, Result]:
-        return (await self.heard.ended.get())[:2]
-
-
-@pytest.mark.parametrize(
-    "reply",
-    [
-        b"what is this\r\n",
-        OK + b"+more\r\n",
-        OK + b"$9\r\nhal",
-        OK + OK,
-        b"*1\r\n$1\r\nx\r\n",
-        b"-ERR odd\r\n",
-        b"-BUSY \xff\r\n",
-    ],
-)
-def test_a_connection_that_says_too_much_is_closed(reply: bytes) -> None:
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            await peer.answer(reply)
-            await bench.end()
-            assert (await peer.hear())[1] == b""
-
-    run(scenario)
-
-
-def test_an_idle_connection_that_says_something_is_closed() -> None:
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            await peer.answer(OK)
-            await bench.end()
-            peer.writers[0].write(b"+hello\r\n")
-            assert (await peer.hear())[1] == b""
-
-    run(scenario)
-
-
-def test_a_refused_connection_never_ran() -> None:
+def test_refused_connect_is_connect_failed() -> None:
     async def scenario() -> None:
         with socket.socket() as bound:  # bound, not listening
             bound.bind((LOCAL, 0))
-            bench = Bench(bound.getsockname()[1])
-            bench.send()
-            assert await bench.end() == (1, Result.CONNECT_FAILED)
-
-    run(scenario)
-
-
-def test_a_break_after_the_last_byte_is_a_reset() -> None:
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            (await peer.hear())[0].transport.abort()
-            assert await bench.end() == (1, Result.RESET)
-
-    run(scenario)
-
-
-def test_a_break_before_the_last_byte_left_never_ran() -> None:
-    async def scenario() -> None:
-        with socket.create_server((LOCAL, 0)) as listener:
-            listener.setblocking(False)
-            bench = Bench(listener.getsockname()[1])
-            bench.send(size=32 << 20)  # more than the sockets' buffers hold
-            connection, _ = await asyncio.get_running_loop().sock_accept(listener)
-            await asyncio.get_running_loop().sock_recv(connection, 10)
-            connection.close()
-            assert await bench.end() == (1, Result.CONNECT_FAILED)
+            harness = UpstreamHarness(bound.getsockname()[1])
+            harness.send()
+            assert await harness.outcome() == (1, Result.CONNECT_FAILED)
 
     run(scenario)
 
 
-def test_a_time_out_closes_the_connection() -> None:
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            await peer.answer(OK)  # the connection is up, so that the time-out can't meet the connect
-            await bench.end()
-            bench.send(timeout=20_000)
-            assert (await peer.hear())[1] != b""
-            assert await bench.end() == (2, Result.TIMEOUT)
-            assert (await peer.hear())[1] == b""
+def test_timed_out_attempt_closes_its_connection() -> None:
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send()
+        await peer.answer(OK)  # the connection is up, so that the time-out can't meet the connect
+        await harness.outcome()
+        harness.send(timeout=20_000)
+        assert (await peer.hear())[1] != b""
+        assert await harness.outcome() == (2, Result.TIMEOUT)
+        assert (await peer.hear())[1] == b""
 
-    run(scenario)
+    play_attempts(scenario)
 
 
-def test_an_attempt_given_up_while_connecting_writes_nothing_later() -> None:
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.servers.cancel(bench.send(size=11))
-            assert await bench.end() == (1, Result.CONNECT_FAILED)
-            cut = bench.send(timeout=0, size=12)
-            assert await bench.end() == (cut.request_id, Result.CONNECT_FAILED)
-            bench.send(size=13)
-            while (heard := (await peer.hear())[1]) == b"":
-                pass
-            assert heard == resp(b"CALL.GET", b"x" * 13)
+def test_attempt_cancelled_or_timed_out_while_connecting_writes_nothing_later() -> None:
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.upstream.cancel(harness.send(size=11))
+        assert await harness.outcome() == (1, Result.CONNECT_FAILED)
+        timed_out = harness.send(timeout=0, size=12)
+        assert await harness.outcome() == (timed_out.request_id, Result.CONNECT_FAILED)
+        harness.send(size=13)
+        while (received := (await peer.hear())[1]) == b"":
+            pass
+        assert received == resp(b"CALL.GET", b"x" * 13)
 
-    run(scenario)
+    play_attempts(scenario)
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_a_connection_that_comes_up_after_its_server_was_told_off_carries_nothing(
+def test_connection_that_comes_up_after_its_endpoint_drains_or_is_removed_carries_nothing(
     state: EndpointState,
 ) -> None:
-    # Also within the grace: it counts from when the agent had the news, and this gateway may have it later.
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send(size=11)
-            bench.servers.update_endpoints(endpoint_at(peer.port, state), False)
-            assert await bench.end() == (1, Result.CONNECT_FAILED)
-            bench.servers.update_endpoints(endpoint_at(peer.port), False)
-            bench.send(size=12)
-            while (heard := (await peer.hear())[1]) == b"":
-                pass
-            assert heard == resp(b"CALL.GET", b"x" * 12)
-
-    run(scenario)
-
-
-def test_a_connect_to_where_a_server_was_before_its_restart_is_not_used() -> None:
-    # Another server may be there by then, and what its connection does says nothing of this one.
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench, late = Bench(peer.port), DelayedConnectLoop()
-            bench.servers.loop = cast(asyncio.AbstractEventLoop, late)
-            bench.send(size=11)
-            await late.asked.wait()
-            bench.servers.update_endpoints(endpoint_at(peer.port, started=7), False)
-            late.go_on.set()
-            assert await bench.end() == (1, Result.NOT_FORWARDED)
-            assert (await peer.hear())[1] == b""
-
-    run(scenario)
-
-
-def test_what_a_draining_server_works_on_may_finish_and_idle_connections_close() -> None:
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            writer, _ = await peer.hear()
-            bench.servers.update_endpoints([], True)  # a whole list without it: it is gone
-            writer.write(OK)
-            assert await bench.end() == (1, Result.OK)
-            assert (await peer.hear())[1] == b""
-
-    run(scenario)
-
-
-def test_a_connection_carries_one_attempt_at_a_time_and_is_used_again() -> None:
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            first, _ = await peer.hear()
-            bench.send()
-            second, _ = await peer.hear()
-            assert first is not second
-            second.write(OK)
-            assert await bench.end() == (2, Result.OK)
-            bench.send()
-            assert (await peer.hear())[0] is second
-
-    run(scenario)
-
+    # Also within the grace of a drain: it counts from when the agent knew, which a gateway may learn later.
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send(size=11)
+        harness.upstream.update_endpoints(endpoint_at(peer.port, state), False)
+        assert await harness.outcome() == (1, Result.CONNECT_FAILED)
+        harness.upstream.update_endpoints(endpoint_at(peer.port), False)
+        harness.send(size=12)
+        while (received := (await peer.hear())[1]) == b"":
+            pass
+        assert received == resp(b"CALL.GET", b"x" * 12)
 
-def test_an_idle_connection_is_dropped_before_the_server_does() -> None:
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            await peer.answer(OK)
-            await bench.end()
-            now = bench.servers.loop.time()
-            for passed, kept in ((25.0, True), (35.0, False)):  # of the 60 s after which the server closes
-                bench.servers.drop_idle(now + passed)
-                bench.send()
-                writer, data = await peer.hear()
-                assert (data != b"") is kept
-                if kept:
-                    writer.write(OK)
-                    await bench.end()
-
-    run(scenario)
-
-
-def test_a_restarted_server_gets_new_connections() -> None:
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            await peer.answer(OK)
-            await bench.end()
-            bench.servers.update_endpoints(endpoint_at(peer.port, started=7), False)
-            assert (await peer.hear())[1] == b""
-
-    run(scenario)
-
-
-def test_connections_are_bounded() -> None:
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port, most=1)
-            bench.send()
-            writer, _ = await peer.hear()
-            bench.send()
-            assert await bench.end() == (2, Result.NOT_FORWARDED)
-            writer.write(OK)
-            assert await bench.end() == (1, Result.OK)
-
-    run(scenario)
-
-
-@pytest.mark.parametrize("silent", [1, 2])
-def test_after_silent_time_outs_idle_connections_are_not_trusted(silent: int) -> None:
-    # Guards against machines that vanished: their open connections say nothing, and end as resets later.
-    # One time-out is more often mere slowness, and a new connection costs the server work.
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            for _ in range(3):
-                bench.send()
-            heard = [await peer.hear() for _ in range(3)]
-            for writer, _ in heard:
-                writer.write(OK)
-            for _ in range(3):
-                await bench.end()
-            for _ in range(silent):
-                attempt = bench.send()
-                assert (await peer.hear())[1] != b""
-                bench.servers.cancel(attempt)
-                assert await bench.end() == (attempt.request_id, Result.CANCELLED)
-                assert (await peer.hear())[1] == b""
-            if silent == 2:
-                assert (await peer.hear())[1] == b""  # the third, which was idle
-            bench.send()
-            writer, data = await peer.hear()
-            assert data != b""
-            assert (writer in [w for w, _ in heard]) is (silent == 1)
-
-    run(scenario)
-
-
-def test_after_a_slow_answer_of_a_server_that_answers_others_they_are_kept() -> None:
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            first, _ = await peer.hear()
-            slow = bench.send()
-            second, _ = await peer.hear()
-            first.write(OK)
-            assert await bench.end() == (1, Result.OK)
-            bench.servers.cancel(slow)
-            assert await bench.end() == (2, Result.CANCELLED)
-            assert (await peer.hear()) == (second, b"")
-            bench.send()
-            assert (await peer.hear())[0] is first
-
-    run(scenario)
-
-
-def test_an_idle_connection_that_is_closing_is_not_used() -> None:
-    # Guards against a write that the transport drops because the other end's close is still to be told: the
-    # request never left, but would count as a reset, and an unsafe one could not be tried again.
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            await peer.answer(OK)
-            await bench.end()
-            for transport in bench.transports():
-                transport.close()
-            bench.send(size=12)
-            while (heard := (await peer.hear())[1]) == b"":
-                pass
-            peer.writers[-1].write(OK)
-            assert heard == resp(b"CALL.GET", b"x" * 12)
-            assert await bench.end() == (2, Result.OK)
+    play_attempts(scenario)
 
-    run(scenario)
 
+def test_connection_that_comes_up_after_its_endpoint_restarted_is_not_used() -> None:
+    # Another endpoint may be there by then, and what its connection does says nothing of this one.
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        loop = DelayedConnectLoop()
+        harness.upstream.loop = cast(asyncio.AbstractEventLoop, loop)
+        harness.send(size=11)
+        await loop.asked.wait()
+        harness.upstream.update_endpoints(endpoint_at(peer.port, started=7), False)
+        loop.go_on.set()
+        assert await harness.outcome() == (1, Result.NOT_FORWARDED)
+        assert (await peer.hear())[1] == b""
 
-def test_what_comes_behind_a_good_answer_is_not_served_to_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards the value: a second copy may come in a later read, when the connection carries another attempt.
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            first, _ = await peer.hear()
-            first.write(OK)
-            await bench.end()
-            bench.send()  # the first connection rests
-            second, _ = await peer.hear()
-            assert second is not first
-            first.write(OK)
-            assert (await peer.hear()) == (first, b"")
-            second.write(OK.replace(b"value", b"other"))
-            assert (await bench.heard.ended.get())[2] == b"other"
+    play_attempts(scenario)
 
-    monkeypatch.setattr("rushroad.proxy.upstream.SETTLE", 60.0)
-    run(scenario)
 
+def test_attempt_beyond_the_connection_limit_is_not_forwarded() -> None:
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send()
+        writer, _ = await peer.hear()
+        harness.send()
+        assert await harness.outcome() == (2, Result.NOT_FORWARDED)
+        writer.write(OK)
+        assert await harness.outcome() == (1, Result.OK)
 
-def test_a_connection_with_something_unread_on_it_is_not_used() -> None:
-    # The same where the loop was busy: what came behind the answer waits in the socket.
-    async def scenario() -> None:
-        with socket.create_server((LOCAL, 0)) as listener:
-            bench = Bench(listener.getsockname()[1])
-            loop = asyncio.get_running_loop()
-            listener.setblocking(False)
-            bench.send()
-            server, _ = await loop.sock_accept(listener)
-            assert await loop.sock_recv(server, 100) != b""
-            server.send(OK)
-            await bench.end()
-            server.send(OK)  # and the loop has no turn before the next attempt
-            bench.send(size=12)
-            other, _ = await loop.sock_accept(listener)
-            assert await loop.sock_recv(other, 100) == resp(b"CALL.GET", b"x" * 12)
-            server.close()
-            other.close()
-
-    run(scenario)
+    play_attempts(scenario, max_connections=1)
 
 
-def test_a_connection_to_where_a_server_was_before_its_restart_is_not_used() -> None:
+def test_attempt_without_a_descriptor_left_is_not_forwarded(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            writer, _ = await peer.hear()
-            bench.servers.update_endpoints(endpoint_at(peer.port, started=7), False)
-            writer.write(OK)
-            assert await bench.end() == (1, Result.OK)
-            assert await peer.hear() == (writer, b"")
-
-    run(scenario)
-
-
-def test_a_server_that_is_gone_is_forgotten_when_nothing_is_out() -> None:
-    # Guards memory: servers are replaced all day under new names.
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            bench.send()
-            writer, _ = await peer.hear()
-            bench.servers.update_endpoints(endpoint_at(peer.port, EndpointState.REMOVED), False)
-            bench.servers._sweep()
-            assert set(bench.servers._pools) == {"s-1"}
-            writer.write(OK)
-            assert await bench.end() == (1, Result.OK)
-            bench.servers._sweep()
-            assert not bench.servers._pools
-            bench.send()
-            assert await bench.end() == (2, Result.CONNECT_FAILED)
-
-    run(scenario)
-
-
-def test_the_gateways_own_limit_on_descriptors_says_nothing_of_the_server(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    async def scenario() -> None:
-        bench = Bench(1)
+        harness = UpstreamHarness(1)
 
         async def none_left(*_: object) -> None:
             raise OSError(errno.EMFILE, "too many open files")
 
-        monkeypatch.setattr(
-            bench.servers,
-            "loop",
-            SimpleNamespace(
-                create_connection=none_left,
-                create_task=asyncio.create_task,
-                time=bench.servers.loop.time,
-                call_later=asyncio.get_running_loop().call_later,
-            ),
+        loop = SimpleNamespace(
+            create_connection=none_left,
+            create_task=asyncio.create_task,
+            time=harness.upstream.loop.time,
+            call_later=asyncio.get_running_loop().call_later,
         )
-        bench.send()
-        assert await bench.end() == (1, Result.NOT_FORWARDED)
-
-    run(scenario)
-
-
-def test_an_unsafe_request_takes_a_new_connection_where_kept_ones_were_reset() -> None:
-    async def scenario() -> None:
-        async with Peer() as peer:
-            bench = Bench(peer.port)
-            for _ in range(3):  # each connection is reset at its second request
-                bench.send()
-                writer = await heard(peer, OK)
-                await bench.end()
-                bench.send()
-                while not (again := await peer.hear())[1]:
-                    pass
-                assert again[0] is writer
-                writer.transport.abort()
-                assert (await bench.end())[1] is Result.RESET
-            bench.send()
-            writer = await heard(peer, OK)
-            await bench.end()
-            bench.send(class_index=NOT_IDEMPOTENT)
-            assert await heard(peer, OK) is not writer
-            assert (await bench.end())[1] is Result.OK
+        monkeypatch.setattr(harness.upstream, "loop", loop)
+        harness.send()
+        assert await harness.outcome() == (1, Result.NOT_FORWARDED)
 
     run(scenario)
-
-
-async def heard(peer: Peer, answer: bytes) -> asyncio.StreamWriter:
-    """Answer the next command."""
-    while not (came := await peer.hear())[1]:
-        pass
-    came[0].write(answer)
-    return came[0]
--- /dev/null
+++ b/tests/proxy/test_upstream_connection.py
@@ -0,0 +1,109 @@
+"""Connections on loopback sockets: which bytes close them, and what a break says of the attempt."""
+
+import asyncio
+import socket
+
+import pytest
+
+from rushroad.policy.events import Result
+from tests.support.attempts import OK, UpstreamHarness, play_attempts
+from tests.support.loopback import LOCAL, Peer, resp, run
+
+pytestmark = pytest.mark.usefixtures("no_settle_time")
+
+
+@pytest.mark.parametrize(
+    "response",
+    [
+        b"what is this\r\n",
+        OK + b"+more\r\n",
+        OK + b"$9\r\nhal",
+        OK + OK,
+        b"*1\r\n$1\r\nx\r\n",
+        b"-ERR odd\r\n",
+        b"-BUSY \xff\r\n",
+    ],
+)
+def test_connection_closes_after_a_malformed_unknown_or_surplus_response(response: bytes) -> None:
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send()
+        await peer.answer(response)
+        await harness.outcome()
+        assert (await peer.hear())[1] == b""
+
+    play_attempts(scenario)
+
+
+def test_idle_connection_closes_when_bytes_come() -> None:
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send()
+        await peer.answer(OK)
+        await harness.outcome()
+        peer.writers[0].write(b"+hello\r\n")
+        assert (await peer.hear())[1] == b""
+
+    play_attempts(scenario)
+
+
+def test_break_after_the_last_byte_left_is_a_reset() -> None:
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send()
+        (await peer.hear())[0].transport.abort()
+        assert await harness.outcome() == (1, Result.RESET)
+
+    play_attempts(scenario)
+
+
+def test_break_before_the_last_byte_left_is_connect_failed() -> None:
+    async def scenario() -> None:
+        with socket.create_server((LOCAL, 0)) as listener:
+            listener.setblocking(False)
+            harness = UpstreamHarness(listener.getsockname()[1])
+            harness.send(size=32 << 20)  # more than the sockets' buffers hold
+            connection, _ = await asyncio.get_running_loop().sock_accept(listener)
+            await asyncio.get_running_loop().sock_recv(connection, 10)
+            connection.close()
+            assert await harness.outcome() == (1, Result.CONNECT_FAILED)
+
+    run(scenario)
+
+
+def test_closing_connection_is_not_used() -> None:
+    # The transport would drop the command, which then counts as a reset: a request that is not idempotent
+    # could not be tried again, although it never left.
+    async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
+        harness.send()
+        await peer.answer(OK)
+        await harness.outcome()
+        for transport in harness.transports():
+            transport.close()
+        harness.send(size=12)
+        while (received := (await peer.hear())[1]) == b"":
+            pass
+        peer.writers[-1].write(OK)
+        assert received == resp(b"CALL.GET", b"x" * 12)
+        assert await harness.outcome() == (2, Result.OK)
+
+    play_attempts(scenario)
+
+
+def test_connection_with_unread_bytes_is_not_used() -> None:
+    # Where the loop was busy, a surplus response still waits in the socket.
+    async def scenario() -> None:
+        with socket.create_server((LOCAL, 0)) as listener:
+            harness = UpstreamHarness(listener.getsockname()[1])
+            loop = asyncio.get_running_loop()
+            listener.setblocking(False)
+            harness.send()
+            endpoint, _ = await loop.sock_accept(listener)
+            assert await loop.sock_recv(endpoint, 100) != b""
+            endpoint.send(OK)
+            await harness.outcome()
+            endpoint.send(OK)  # and the loop has no turn before the next attempt
+            harness.send(size=12)
+            other, _ = await loop.sock_accept(listener)
+            assert await loop.sock_recv(other, 100) == resp(b"CALL.GET", b"x" * 12)
+            endpoint.close()
+            other.close()
+
+    run(scenario)
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -60,6 +60,12 @@
         self.upstream.start(attempt, timeout)
         return attempt
 
+    def transports(self) -> list[asyncio.Transport]:
+        """The transports of all connections that are up."""
+        pools = self.upstream._pools.values()
+        transports = [connection.transport for pool in pools for connection in pool.connections]
+        return [transport for transport in transports if transport is not None]
+
     async def outcome(self) -> tuple[int, Result]:
         """Wait for an attempt to end: the number of its request, and its result."""
         return (await self.engine.ended.get())[:2]
