--- a/rushroad/policy/settings.py
+++ b/rushroad/policy/settings.py
@@ -112,3 +112,11 @@
     polls_endpoints: bool = False  # the endpoint list has to be polled
     load_report_fields: tuple[str, ...] = ()  # what load reports hold, in order
     load_reports_by_health_check: bool = False  # load reports come only with replies to health checks
+
+    @property
+    def uses_cells(self) -> bool:
+        """True where some class of requests must stay within a cell once it may have been executed."""
+        return any(
+            c.idempotency is Idempotency.IDEMPOTENCY_KEY and c.deduplication_scope is DeduplicationScope.CELL
+            for c in self.request_classes
+        )
