--- a/rushroad/proxy/counter_client.py
+++ b/rushroad/proxy/counter_client.py
@@ -1,224 +1,174 @@
-"""Calls to the counter service, pipelined on a few lasting connections."""
+"""Calls to the counter service, pipelined on a few connections that are kept up."""
 
 from __future__ import annotations
 
 import asyncio
-import math
-from collections import deque
 from collections.abc import Callable
 from contextlib import suppress
-from typing import cast
 
 from rushroad.policy.events import CounterReply, LateCounterReply, Result
+from rushroad.proxy.counter_connection import (
+    PING_REPLY,
+    CounterCall,
+    CounterConnection,
+    InvalidReplyError,
+    decode_total,
+    encode_add,
+)
 
 CONNECTIONS = 2
-RETRY = 0.05  # seconds before a second try to connect in a row; doubled up to MOST_RETRY
-MOST_RETRY = 0.4
-TEND = 0.5  # seconds between looks at a connection
-PING_AFTER = 2.0  # seconds of silence after which a ping keeps a connection up: it idles out within 10 s
-DEAD_AFTER = 1.0  # seconds that the oldest call may stay unanswered: longer than any queue of the counter's
-MOST_LINE = 256  # bytes; a longer line is no answer
-
-
-class _Call:
-    """One call; it keeps its place in the line when it has timed out. A ping has no name."""
-
-    __slots__ = ("amount", "at", "name", "over", "text", "timer")
-
-    def __init__(self, name: int | None, amount: float, text: bytes, at: float) -> None:
-        self.name, self.amount, self.text, self.at = name, amount, text, at
-        self.over = name is None
-        self.timer: asyncio.TimerHandle | None = None
-
-
-class _Connection(asyncio.Protocol):
-    """One connection, and the calls on it in order."""
-
-    def __init__(self, counter: CounterClient) -> None:
-        self._counter = counter
-        self._buffer = b""
-        self._unwritten = False
-        self.proven = False  # it has answered
-        self.retired = False  # carries no new calls, and is closed when those on it are answered
-        self.written: deque[_Call] = deque()
-        self.transport: asyncio.Transport | None = None
-        self.heard = 0.0
-        self.lost = asyncio.Event()
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Up."""
-        transport = cast(asyncio.Transport, transport)
-        transport.set_write_buffer_limits(high=0)  # pause_writing then tells of every byte not written
-        self.transport = transport
-        self.heard = self._counter.loop.time()
-
-    def pause_writing(self) -> None:
-        """Bytes wait in this process."""
-        self._unwritten = True
-
-    def resume_writing(self) -> None:
-        """All bytes have left."""
-        self._unwritten = False
-
-    def usable(self) -> bool:
-        """False where the other end has closed it, though it has not been told: a write would be lost."""
-        return self.transport is not None and not self.transport.is_closing() and not self.retired
-
-    def retire(self) -> None:
-        """Another one stands in its place."""
-        self.retired = True
-        self._counter.loop.call_later(DEAD_AFTER if self.written else 0, self.drop)
-
-    def write(self, call: _Call) -> None:
-        """Send a call."""
-        assert self.transport is not None
-        self.written.append(call)
-        self.transport.write(call.text)
-
-    def data_received(self, data: bytes) -> None:
-        """Answers, in the order of the calls; also those that come too late have their place."""
-        self.heard = self._counter.loop.time()
-        *lines, self._buffer = (self._buffer + data).split(b"\r\n")
-        for line in lines:
-            if not self.written or not self._counter.answered(self.written.popleft(), line, self.retired):
-                self.drop()
-                return
-            self.proven = True
-        if len(self._buffer) > MOST_LINE or (self.retired and not self.written):
-            self.drop()
-
-    def drop(self) -> None:
-        """Close: it is dead, or what it says can't be matched to calls any more."""
-        if self.transport is not None:
-            self.transport.abort()
-
-    def connection_lost(self, error: Exception | None) -> None:
-        """Calls that were written may have been added; with the last bytes still here, the last was not."""
-        self.transport = None
-        self.lost.set()
-        if self._unwritten and self.written:
-            self._counter.end(self.written.pop(), Result.CONNECT_FAILED)
-        for call in self.written:
-            self._counter.end(call, Result.RESET)
+CONNECT_TIMEOUT = 1.0  # seconds
+FIRST_RECONNECT_DELAY = 0.05  # seconds before the second connect in a row; doubled with each further one
+MAX_RECONNECT_DELAY = 0.4  # seconds
+MONITOR_INTERVAL = 0.5  # seconds between checks of a connection
+
+
+class CallsInFlight:
+    """The calls for one name that have not ended. They keep to one connection, and so to their order."""
+
+    __slots__ = ("connection", "count")
+
+    def __init__(self, connection: CounterConnection) -> None:
+        self.connection = connection  # that the last of them was sent on
+        self.count = 1
 
 
 class CounterClient:
-    """The counter service, as the module calls it."""
+    """The counter service, as the engine calls it."""
 
     def __init__(
         self,
         address: tuple[str, int],
-        time_limit: int,
+        timeout: int,
         post: Callable[[CounterReply | LateCounterReply], None],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
+        """Begin to connect. timeout: microseconds after which a call without a reply ends as TIMEOUT.
+
+        `post` takes the events.
+        """
         self.loop = loop
-        self._address, self._limit, self._post = address, time_limit / 1e6, post
-        self._lines: list[_Connection | None] = [None] * CONNECTIONS
-        self._out: dict[int, tuple[_Connection, int]] = {}  # name: where its last call is out, and how many
-        self._tasks = [loop.create_task(self._keep(number)) for number in range(CONNECTIONS)]
+        self._address, self._timeout, self._post = address, timeout / 1e6, post
+        self._connections: list[CounterConnection | None] = [None] * CONNECTIONS
+        self._in_flight: dict[int, CallsInFlight] = {}  # by name
+        self._tasks = self._start_tasks()
+
+    def _start_tasks(self) -> list[asyncio.Task[None]]:
+        return [self.loop.create_task(self._maintain_connection(index)) for index in range(CONNECTIONS)]
 
     def add(self, name: int, amount: float, lifetime: int) -> None:
-        """One call; one `Counted` follows, and `CountedLate` where its total comes after that.
+        """Add to the total of a name; lifetime: microseconds that the counter keeps it.
 
-        A name with calls out keeps to its connection, and their order.
+        One CounterReply follows, and a LateCounterReply where the total comes after a TIMEOUT.
         """
-        life = max(1, math.ceil(lifetime / 1_000))
-        call = _Call(name, amount, b"bump %x %.6f %d\r\n" % (name, amount, life), self.loop.time())
-        line = self.line_of(name)
-        if line is None:
+        call = CounterCall(name, amount, encode_add(name, amount, lifetime), self.loop.time())
+        connection = self.connection_for(name)
+        if connection is None:
             self.end(call, Result.CONNECT_FAILED)
             return
-        call.timer = self.loop.call_later(self._limit, self.end, call, Result.TIMEOUT)
-        self._out[name] = (line, self._out[name][1] + 1 if name in self._out else 1)
-        line.write(call)
-
-    def line_of(self, name: int) -> _Connection | None:
-        """The connection for a name: while its own is down, another one."""
-        line = self._out[name][0] if name in self._out else self._lines[name % CONNECTIONS]
-        if line is not None and line.usable():
-            return line
-        return next((line for line in self._lines if line is not None and line.usable()), None)
+        call.timer = self.loop.call_later(self._timeout, self.end, call, Result.TIMEOUT)
+        calls = self._in_flight.get(name)
+        if calls is None:
+            self._in_flight[name] = CallsInFlight(connection)
+        else:
+            calls.connection = connection
+            calls.count += 1
+        connection.send(call)
+
+    def connection_for(self, name: int) -> CounterConnection | None:
+        """Return the connection for calls of a name: its own, or another one while that is not usable."""
+        calls = self._in_flight.get(name)
+        connection = self._connections[name % CONNECTIONS] if calls is None else calls.connection
+        if connection is not None and connection.is_usable():
+            return connection
+        return next((other for other in self._connections if other is not None and other.is_usable()), None)
 
     def move(self, address: tuple[str, int]) -> None:
-        """Go on at another address. Calls that are out end where they are; new ones follow when it is up."""
+        """Connect to another address.
+
+        Calls in flight end on their connections; new ones go there until those of the new address are up.
+        """
         if address == self._address:
             return
         self._address = address
         for task in self._tasks:
             task.cancel()
-        self._tasks = [self.loop.create_task(self._keep(number)) for number in range(CONNECTIONS)]
+        self._tasks = self._start_tasks()
 
-    def answered(self, call: _Call, line: bytes, retired: bool) -> bool:
-        """Take an answer; false where it is none. A late one of a counter that was left tells no total."""
-        word, _, rest = line.partition(b" ")
+    def reply_received(self, call: CounterCall, line: bytes, is_retired: bool) -> None:
+        """Take the reply to a call; raises InvalidReplyError where the line is none.
+
+        Late totals on a retired connection are dropped: its counter may be another than the one in use.
+        """
         if call.name is None:
-            return line == b"pong"
-        if word == b"ok":
-            try:
-                total = float(rest)
-            except ValueError:
-                total = math.nan
-            if math.isfinite(total):
-                if call.over and not retired:
-                    self._post(LateCounterReply(call.name, call.amount, total))
-                self.end(call, Result.OK, total)
-                return True
-        elif word in (b"busy", b"error"):
+            if line != PING_REPLY:
+                raise InvalidReplyError(f"expected {PING_REPLY!r}, got {line[:80]!r}")
+            return
+        try:
+            total = decode_total(line)
+        except InvalidReplyError:
+            self.end(call, Result.RESET)  # it may have been added
+            raise
+        if total is None:
             self.end(call, Result.OVERLOADED)
-            return True
-        self.end(call, Result.RESET)  # garbage: it may have been added
-        return False
+            return
+        if call.ended and not is_retired:
+            self._post(LateCounterReply(call.name, call.amount, total))
+        self.end(call, Result.OK, total)
 
-    def end(self, call: _Call, result: Result, total: float = 0.0) -> None:
-        """A call's one outcome."""
-        if call.over or call.name is None:
+    def end(self, call: CounterCall, result: Result, total: float = 0.0) -> None:
+        """Report a call's outcome; later ones of the same call are dropped."""
+        if call.ended or call.name is None:
             return
-        call.over = True
+        call.ended = True
         if call.timer is not None:
             call.timer.cancel()
-            line, count = self._out.pop(call.name)
-            if count > 1:
-                self._out[call.name] = (line, count - 1)
-        self._post(CounterReply(call.name, result, int((self.loop.time() - call.at) * 1e6), total))
+            calls = self._in_flight[call.name]
+            calls.count -= 1
+            if not calls.count:
+                del self._in_flight[call.name]
+        self._post(CounterReply(call.name, result, int((self.loop.time() - call.started_at) * 1e6), total))
 
-    async def _keep(self, number: int) -> None:
-        """Keep one connection up: connect again when it ends, keep it from idling out, end it when dead.
+    async def _maintain_connection(self, index: int) -> None:
+        """Keep one connection up: connect again when it ends, at once if it had replied.
 
-        At once when one that had answered ends: its names would go uncounted. Later and later after that, as
-        one that is reset at once must not make the loop spin.
+        Meanwhile its names may go uncounted. After a connection without a reply the delay grows, so that one
+        that is reset each time does not make the loop spin.
         """
-        pause = 0.0
+        delay = 0.0
         while True:
             try:
-                async with asyncio.timeout(1.0):
-                    _, line = await self.loop.create_connection(lambda: _Connection(self), *self._address)
-                before, self._lines[number] = self._lines[number], line
-                if before is not None:
-                    before.retire()
-                await self._tend(line)
-                if line.proven:
-                    pause = 0.0
-            except OSError:  # a time-out is one, too
+                async with asyncio.timeout(CONNECT_TIMEOUT):
+                    _, connection = await self.loop.create_connection(
+                        lambda: CounterConnection(self), *self._address
+                    )
+                previous, self._connections[index] = self._connections[index], connection
+                if previous is not None:
+                    previous.retire()
+                await self._monitor(connection)
+                if connection.has_replied:
+                    delay = 0.0
+            except OSError:  # a TimeoutError is one, too
                 pass
-            await asyncio.sleep(pause)
-            pause = min(MOST_RETRY, pause * 2 or RETRY)
+            await asyncio.sleep(delay)
+            delay = min(MAX_RECONNECT_DELAY, delay * 2 or FIRST_RECONNECT_DELAY)
 
-    async def _tend(self, line: _Connection) -> None:
-        while not line.lost.is_set():
+    async def _monitor(self, connection: CounterConnection) -> None:
+        """Close a connection that is dead, and ping one that is idle, until it is lost."""
+        while not connection.lost.is_set():
             with suppress(TimeoutError):
-                async with asyncio.timeout(TEND):
-                    await line.lost.wait()
+                async with asyncio.timeout(MONITOR_INTERVAL):
+                    await connection.lost.wait()
             now = self.loop.time()
-            if line.written and now - line.written[0].at > DEAD_AFTER:
-                line.drop()
-            elif not line.written and now - line.heard > PING_AFTER and line.usable():
-                line.write(_Call(None, 0.0, b"ping\r\n", now))
+            if connection.is_dead(now):
+                connection.close()
+            elif connection.needs_ping(now):
+                connection.ping(now)
 
     def close(self) -> None:
-        """The end of the process."""
+        """Close all connections, at the end of the process."""
         for task in self._tasks:
             task.cancel()
-        for line in self._lines:
-            if line is not None:
-                line.drop()
+        for connection in self._connections:
+            if connection is not None:
+                connection.close()
--- /dev/null
+++ b/tests/proxy/test_counter_connection.py
@@ -0,0 +1,85 @@
+"""Connections to a counter on loopback sockets: commands, replies in order, pings, and when one closes."""
+
+import pytest
+
+from rushroad.policy.events import Result
+from rushroad.proxy import counter_client, counter_connection
+from rushroad.proxy.counter_client import CounterClient
+from tests.support.counter_calls import LONG_TIMEOUT, RecordedReplies, play_calls
+from tests.support.loopback import Peer
+
+
+@pytest.mark.parametrize(
+    ("reply", "result", "total"),
+    [
+        (b"ok 12.5\r\n", Result.OK, 12.5),
+        (b"busy\r\n", Result.OVERLOADED, 0.0),
+        (b"error\r\n", Result.OVERLOADED, 0.0),
+        (b"what\r\n", Result.RESET, 0.0),
+        (b"ok nan\r\n", Result.RESET, 0.0),
+        (b"ok\r\n", Result.RESET, 0.0),
+        (b"\xff" * 1_000, Result.RESET, 0.0),
+    ],
+)
+def test_reply_gives_its_result_and_total(reply: bytes, result: Result, total: float) -> None:
+    async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
+        client.add(0xABC, -2.5, 4_000_001)
+        assert await peer.answer(reply) == b"bump abc -2.500000 4001\r\n"
+        posted = await replies.get()
+        assert (posted.name, posted.result, posted.total) == (0xABC, result, total)
+
+    play_calls(scenario, LONG_TIMEOUT)
+
+
+def test_calls_of_one_name_share_a_connection_and_get_their_replies_in_order() -> None:
+    async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
+        for amount in (1.0, 2.0, 3.0):
+            client.add(8, amount, 1_000_000)
+        writer, data = await peer.hear()
+        while data.count(b"\r\n") < 3:
+            data += (await peer.hear())[1]
+        writer.write(b"ok 1\r\nok 3\r")
+        writer.write(b"\nok 6\r\n")
+        assert [(await replies.get()).total for _ in range(3)] == [1.0, 3.0, 6.0]
+
+    play_calls(scenario, LONG_TIMEOUT)
+
+
+def test_idle_connection_is_kept_up_by_pings(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(counter_connection, "PING_AFTER", 0.0)
+    monkeypatch.setattr(counter_client, "MONITOR_INTERVAL", 0.01)
+
+    async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
+        writer, data = await peer.hear()
+        assert data == b"ping\r\n"
+        name = next(n for n in range(9) if client.connection_for(n) is client.connection_for(0))
+        writer.write(b"pong\r\n")
+        client.add(name, 1.0, 1_000)
+        assert replies.empty()
+
+    play_calls(scenario, LONG_TIMEOUT)
+
+
+def test_connection_without_replies_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(counter_connection, "DEAD_AFTER", 0.0)
+    monkeypatch.setattr(counter_client, "MONITOR_INTERVAL", 0.01)
+
+    async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
+        client.add(8, 1.0, 1_000_000)
+        assert (await peer.hear())[1] != b""
+        assert (await peer.hear())[1] == b""
+        assert (await replies.get()).result is Result.RESET
+
+    play_calls(scenario, LONG_TIMEOUT)
+
+
+def test_call_while_all_connections_are_closing_is_connect_failed() -> None:
+    # The transport would drop the call, as the other end has closed it.
+    async def scenario(client: CounterClient, _peer: Peer, replies: RecordedReplies) -> None:
+        while (connection := client.connection_for(8)) is not None:
+            assert connection._transport is not None
+            connection._transport.close()
+        client.add(8, 1.0, 1_000_000)
+        assert (await replies.get()).result is Result.CONNECT_FAILED
+
+    play_calls(scenario, LONG_TIMEOUT)
--- /dev/null
+++ b/tests/support/counter_calls.py
@@ -0,0 +1,47 @@
+"""What tests of the counter client share: a client connected to a peer, and the replies that it reports."""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+from rushroad.policy.events import CounterReply, LateCounterReply
+from rushroad.proxy.counter_client import CounterClient
+from tests.support.loopback import LOCAL, Peer, run
+
+SHORT_TIMEOUT = 50_000  # microseconds
+LONG_TIMEOUT = 10_000_000
+
+
+class RecordedReplies(asyncio.Queue[CounterReply]):
+    """Takes what the client posts: a queue of the replies, and one of the late replies."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.late: asyncio.Queue[LateCounterReply] = asyncio.Queue()
+
+    def post(self, event: CounterReply | LateCounterReply) -> None:
+        if isinstance(event, LateCounterReply):
+            self.late.put_nowait(event)
+        else:
+            self.put_nowait(event)
+
+
+def play_calls(
+    scenario: Callable[[CounterClient, Peer, RecordedReplies], Awaitable[None]], timeout: int
+) -> None:
+    """Play a scenario with a client whose connections are all up, and whose counter is a peer."""
+
+    async def start() -> None:
+        replies = RecordedReplies()
+        async with Peer() as peer:
+            client = CounterClient((LOCAL, peer.port), timeout, replies.post, asyncio.get_running_loop())
+            await all_connected(client)
+            await scenario(client, peer, replies)
+            client.close()
+
+    run(start)
+
+
+async def all_connected(client: CounterClient) -> None:
+    """Wait until all connections are up."""
+    while not all(connection is not None and connection.is_usable() for connection in client._connections):
+        await asyncio.sleep(0.001)
