--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -11,8 +11,9 @@
 from rushroad.proxy.connection_limit import ConnectionLimit
 from rushroad.proxy.endpoint_addresses import EndpointAddresses, unpack_address
 from rushroad.proxy.endpoint_pool import EndpointPool
-from rushroad.proxy.engine import Attempt, Engine
+from rushroad.proxy.engine import Engine
 from rushroad.proxy.idle_resets import IdleResetRates
+from rushroad.proxy.in_flight import Attempt
 from rushroad.proxy.transient_errors import RESOURCES
 from rushroad.proxy.upstream_connection import UpstreamConnection
 from rushroad.proxy.upstream_response import ResponseDecoder
@@ -126,7 +127,7 @@
         elif connection.address != pool.address:
             connection.close()
             self.end(attempt, Result.NOT_FORWARDED)  # it says nothing of where the endpoint is now
-        elif attempt.call.has_left():  # the client; the engine, which is told next, withdraws the attempt
+        elif attempt.call.poll_disconnect():  # the engine, told of it, withdraws the attempt
             pool.add(connection)
             pool.release(connection)
         else:
@@ -150,7 +151,7 @@
 
     def _write(self, attempt: Attempt, connection: UpstreamConnection, timeout: int) -> None:
         self._in_flight[attempt].connection = connection
-        connection.send(attempt, attempt.call.command(timeout))
+        connection.send(attempt, attempt.call.forwarded_command(timeout))
 
     def cancel(self, attempt: Attempt) -> None:
         """Abandon an attempt, which ends as CANCELLED, or as CONNECT_FAILED where nothing was written."""
--- a/rushroad/proxy/upstream_connection.py
+++ b/rushroad/proxy/upstream_connection.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from rushroad.proxy.endpoint_pool import EndpointPool
-    from rushroad.proxy.engine import Attempt
+    from rushroad.proxy.in_flight import Attempt
 
 MALFORMED = b"malformed"  # stands for bytes that are no RESP message: no response of the protocol, too
 
--- a/tests/integration/test_actual_units.py
+++ b/tests/integration/test_actual_units.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from rushroad.bench.gateway_processes import settings
+from rushroad.bench.real.gateway_processes import settings
 from tests.support.gateway_cluster import World, call
 from tests.support.loopback import run
 
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -8,7 +8,8 @@
 
 from rushroad.policy.events import Endpoint, EndpointState, Result
 from rushroad.policy.settings import Limits, Settings
-from rushroad.proxy.engine import Attempt, Engine
+from rushroad.proxy.engine import Engine
+from rushroad.proxy.in_flight import Attempt
 from rushroad.proxy.upstream import Upstream
 from tests.support.gateway_driver import IDEMPOTENT, SETTINGS
 from tests.support.loopback import LOCAL, Peer, RecordingEngine, resp, run
@@ -24,10 +25,10 @@
     def __init__(self, size: int = 10, class_index: int = IDEMPOTENT) -> None:
         self.size, self.class_index = size, class_index
 
-    def has_left(self) -> bool:
+    def poll_disconnect(self) -> bool:
         return False
 
-    def command(self, _wait: int) -> bytes:
+    def forwarded_command(self, _time_remaining: int) -> bytes:
         return resp(b"CALL.GET", b"x" * self.size)
 
 
