--- a/rushroad/proxy/endpoint_addresses.py
+++ b/rushroad/proxy/endpoint_addresses.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import NamedTuple, NewType
+from typing import NamedTuple, TypeAlias
 
 from rushroad.policy.events import Endpoint, EndpointState
 
 # An EndpointAddress as one text. The table holds one for each endpoint there is: 122 bytes an entry with its
 # place in the table, where a tuple would take 240.
-PackedAddress = NewType("PackedAddress", str)
+PackedAddress: TypeAlias = str
 
 
 class EndpointAddress(NamedTuple):
@@ -20,9 +20,9 @@
     started_at: int  # microseconds; 0: long ago
 
 
-def pack_address(host: str, port: int, started_at: int) -> PackedAddress:
+def pack_address(host_port: tuple[str, int], started_at: int) -> PackedAddress:
     """Pack an address; two packed ones are equal only if all their parts are."""
-    return PackedAddress(f"{host}:{port} {started_at}")
+    return f"{host_port[0]}:{host_port[1]} {started_at}"
 
 
 def unpack_address(packed: PackedAddress) -> EndpointAddress:
@@ -43,11 +43,11 @@
         """Return the address of an endpoint, or None where it may be sent nothing new."""
         return self._addresses.get(name)
 
-    def update(self, endpoint: Endpoint, address: tuple[str, int]) -> PackedAddress:
+    def update(self, endpoint: Endpoint, host_port: tuple[str, int]) -> PackedAddress:
         """Take an entry of the endpoint list; returns its address, also where nothing may be sent there."""
         name = endpoint.name
         self._unconfirmed.pop(name, None)
-        packed = pack_address(*address, endpoint.started_at)
+        packed = pack_address(host_port, endpoint.started_at)
         if endpoint.state is EndpointState.READY:
             self._addresses[name] = packed
         else:
--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -76,10 +76,10 @@
         """
         if is_snapshot and first:
             self._addresses.begin_snapshot()
-        for endpoint, address in entries:
-            packed = self._addresses.update(endpoint, address)
+        for endpoint, host_port in entries:
+            address = self._addresses.update(endpoint, host_port)
             if (pool := self._pools.get(endpoint.name)) is not None:
-                pool.update(packed, endpoint.state is EndpointState.READY)
+                pool.update(address, endpoint.state is EndpointState.READY)
         if is_snapshot and last:
             for name in self._addresses.finish_snapshot():
                 if (pool := self._pools.get(name)) is not None:
--- a/tests/proxy/test_endpoint_addresses.py
+++ b/tests/proxy/test_endpoint_addresses.py
@@ -24,7 +24,8 @@
 
 @pytest.mark.parametrize("address", [("10.0.0.1", 80, 0), ("host.zone-1", 65_535, 1 << 53), ("::1", 1, 7)])
 def test_unpacked_address_equals_what_was_packed(address: tuple[str, int, int]) -> None:
-    assert unpack_address(pack_address(*address)) == EndpointAddress(*address)
+    host, port, started_at = address
+    assert unpack_address(pack_address((host, port), started_at)) == EndpointAddress(*address)
 
 
 def test_address_of_a_restarted_endpoint_differs(addresses: EndpointAddresses) -> None:
