--- a/rushroad/bench/stand_ins/rate_servers.py
+++ b/rushroad/bench/stand_ins/rate_servers.py
@@ -58,7 +58,7 @@
         try:
             while (words := self._reader.next()) is not None:
                 self._handle(cast(list[bytes], words))
-        except resp.Malformed:
+        except resp.ProtocolError:
             self._rate_servers.figures.syntax_errors += 1
             self._transport.abort()
 
--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -107,7 +107,7 @@
                     break
                 any_invalid |= not self._take_command(cast(list[bytes], words))
                 taken += 1
-        except resp.Malformed as error:
+        except resp.ProtocolError as error:
             self._refuse_input(f"Protocol error: {error}")
             return
         if self._input_closed:
--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -22,7 +22,7 @@
 from rushroad.proxy.client_listener import ClientListener
 from rushroad.proxy.engine import Engine
 from rushroad.proxy.upstream import Upstream
-from tests.proxy.test_upstream import LONG, OK, at
+from tests.support.attempts import LONG, OK, endpoint_at
 from tests.support.client_side import ClientSide
 from tests.support.gateway_driver import SETTINGS
 from tests.support.loopback import LOCAL, SCHEMA, Peer, call, run
@@ -70,7 +70,7 @@
         loop = asyncio.get_running_loop()
         self.policy, self.endpoint = policy, endpoint
         self.upstream = engine.backend = Upstream(engine, SETTINGS, 15_000_000, 8, loop)
-        self.upstream.update_endpoints(at(endpoint.port), True)
+        self.upstream.update_endpoints(endpoint_at(endpoint.port), True)
         self.counter = engine.counter = HeldCounter(engine)
         self.listener = ClientListener(engine, SCHEMA, 8, loop)
         self.client: socket.socket
@@ -107,7 +107,7 @@
     """Runs a scenario with an idle connection to the endpoint, which an attempt takes at once."""
 
     def play(script: Script, scenario: Scenario) -> None:
-        monkeypatch.setattr("rushroad.proxy.upstream.SETTLE", 0.0)
+        monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME", 0.0)
         policy = install_policy(monkeypatch, script)
 
         async def start() -> None:
@@ -210,7 +210,7 @@
     async def scenario(gateway: Gateway) -> None:
         upstream = gateway.upstream
         upstream.loop = cast(asyncio.AbstractEventLoop, ConnectHook(lambda: close(gateway.client, abrupt)))
-        upstream.drop_idle(upstream.loop.time() + 60.0)
+        upstream.close_idle(upstream.loop.time() + 60.0)
         with gateway.connect() as other:
             gateway.client.sendall(call(2))
             await until(lambda: bool(gateway.counter.pending))
--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -9,3 +9,9 @@
 def play() -> Play:
     """Runs a scenario on the client side of a gateway, whose engine records what it is asked."""
     return play_scenario
+
+
+@pytest.fixture
+def no_settle_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let connections to endpoints be reused right after a response."""
+    monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME", 0.0)
