--- a/tests/integration/test_process.py
+++ b/tests/integration/test_process.py
@@ -15,16 +15,16 @@
 
 import pytest
 
-from tests.simulator.test_adapter import FACTS
 from tests.support.loopback import call
+from tests.support.settings_document import SETTINGS_DOCUMENT
 
 ROOT = Path(__file__).parent.parent.parent
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
 NAMED = {
-    **FACTS,
-    "classes": [{**FACTS["classes"][0], "name": "lookup"}],
-    "packages": [{**FACTS["packages"][0], "name": "basic"}],
-    "limits": {**FACTS["limits"], "connIdleUs": 15_000_000, "connectTimeoutUs": 250_000},
+    **SETTINGS_DOCUMENT,
+    "classes": [{**SETTINGS_DOCUMENT["classes"][0], "name": "lookup"}],
+    "packages": [{**SETTINGS_DOCUMENT["packages"][0], "name": "basic"}],
+    "limits": {**SETTINGS_DOCUMENT["limits"], "connIdleUs": 15_000_000, "connectTimeoutUs": 250_000},
 }
 
 
