--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -18,13 +18,21 @@
 
 from rushroad.policy.events import EndpointUpdate, UpdateKind
 from rushroad.policy.settings_reader import ProxySettings, read_proxy_settings, read_settings
-from rushroad.proxy.client_connection import ClientListener, Terms
+from rushroad.proxy.address import read_address
+from rushroad.proxy.client_command import CommandSchema
+from rushroad.proxy.client_listener import ClientListener
 from rushroad.proxy.counter_client import CounterClient
-from rushroad.proxy.discovery import UNREADABLE, Discovery, EndpointDecoder, Line, News, read_address
+from rushroad.proxy.discovery import Discovery, UpdateHandler
+from rushroad.proxy.endpoint_decoder import (
+    UNEXPECTED_JSON_ERRORS,
+    EndpointDecoder,
+    ListedEndpoint,
+    MalformedEndpointListError,
+)
 from rushroad.proxy.engine import Engine
-from rushroad.proxy.json_splitter import Cutter
+from rushroad.proxy.json_splitter import JsonSplitter
 from rushroad.proxy.nonblocking_log import log
-from rushroad.proxy.transient_errors import AGAIN, PASSING, START_PATIENCE, persist
+from rushroad.proxy.transient_errors import AGAIN, START_RETRY_TIME, TRANSIENT_ERRORS, retry_transient
 from rushroad.proxy.upstream import Upstream
 
 FIRST_NEWS = 0.3  # seconds that a start waits for discovery before it goes by the list it had last
@@ -33,7 +41,7 @@
 ACCEPT = 0.5  # seconds that new connections are taken after SIGTERM
 KILL_LEAST = 3.0  # seconds: the longest deadline, counted so where it is longer; SIGKILL comes 0.7 s later
 MOVE_PATIENCE = 3.0  # seconds that a new configuration is tried to be read; its news count as told after 4
-MOVE_PASSING = PASSING | {errno.ENOENT}  # one that is being replaced may be missing for a moment
+MOVE_PASSING = TRANSIENT_ERRORS | {errno.ENOENT}  # one that is being replaced may be missing for a moment
 KILL_SPARE = 0.5  # seconds after it when all is answered: SIGKILL may come soon
 OWN_SOCKETS = 32  # descriptors for the counter, discovery, the loop and the standard streams
 SERVER_PART = 0.25  # of the other descriptors; the rest is for clients
@@ -48,15 +56,15 @@
 
 async def read_config() -> dict[str, Any]:
     """The configuration but its list of servers. Each piece has a turn of the loop to itself."""
-    cutter = Cutter(("known", "instances"))
+    splitter = JsonSplitter(("known", "instances"))
     objects = []
     for data in read_file():
-        cutter.feed(data)
-        while (run := cutter.next()) is not None:
-            if run.last:
-                objects.append(run.frame)
+        splitter.feed(data)
+        while (run := splitter.next_run()) is not None:
+            if run.ends_document:
+                objects.append(run.document)
         await asyncio.sleep(0)
-    if len(objects) != 1 or not cutter.empty():
+    if len(objects) != 1 or not splitter.is_between_documents():
         raise ValueError("the configuration is not one whole JSON object")
     return objects[0]
 
@@ -64,11 +72,11 @@
 async def move(discovery: Discovery, counter: CounterClient | None) -> None:
     """Go by the addresses in the new file. One that can't be read changes nothing."""
     try:
-        config = await persist(read_config, MOVE_PATIENCE, MOVE_PASSING)
+        config = await retry_transient(read_config, MOVE_PATIENCE, MOVE_PASSING)
         discovery_at = read_address(config["discovery"])
         counter_at = None if counter is None else read_address(config["counter"])
-    except (OSError, RecursionError, *UNREADABLE) as wrong:
-        log(f"the new configuration can't be read, the old one stays: {wrong!r}")
+    except (OSError, RecursionError, *UNEXPECTED_JSON_ERRORS) as wrong:
+        log(f"the new configuration can't be read; keeping the old one: {wrong!r}")
         return
     discovery.move(discovery_at)
     if counter is not None and counter_at is not None:
@@ -101,20 +109,23 @@
             self._loop.call_soon(gc.freeze)  # behind the module, which has them next
 
 
-async def read_known(names: ProxySettings, memory: int, news: News) -> int:
+async def read_known(names: ProxySettings, memory: int, news: UpdateHandler) -> int:
     """Tell the list as this gateway last had it; its version, or 0 where discovery has to tell all of it."""
     lists = EndpointDecoder(names, memory, UpdateKind.CACHED_SNAPSHOT, ("known",))
     version = 0
     try:
         for data in read_file():
             lists.feed(data)
-            while not lists.idle:
-                if (part := lists.next()) is not None:
-                    news(part.members, part.lines)
-                    version = part.members.version if part.last else version
+            while not lists.needs_data:
+                if (part := lists.next_part()) is not None:
+                    news(part.update, part.listed)
+                    version = part.update.version if part.ends_list else version
                 await asyncio.sleep(0)  # the module takes it in
-    except UNREADABLE as wrong:
-        log(f"the list of servers in the configuration can't be read: {wrong!r}")
+    except MalformedEndpointListError as error:
+        log(
+            "the cached endpoint list in the configuration can't be read; requesting one from discovery: "
+            f"{error!r}"
+        )
     return version
 
 
@@ -124,8 +135,8 @@
     stop, hangup = asyncio.Event(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    loop.set_exception_handler(log.exception)
-    config = await persist(read_config)
+    loop.set_exception_handler(log.handle_loop_exception)
+    config = await retry_transient(read_config)
     settings, names = read_settings(config["settings"]), read_proxy_settings(config["settings"])
     sockets = int(config["limits"]["sockets"]) - OWN_SOCKETS
     memory = int(config["limits"]["memory_mb"] * 1e6)
@@ -139,24 +150,24 @@
     if settings.counter is not None:
         counter = CounterClient(read_address(config["counter"]), settings.counter.timeout, engine.post, loop)
         engine.counter = counter
-    clients = ClientListener(engine, Terms.of(settings, names), sockets - most, loop)
+    clients = ClientListener(engine, CommandSchema.from_settings(settings, names), sockets - most, loop)
 
     freezer = Freezer(loop)
 
-    def news(members: EndpointUpdate, lines: list[Line]) -> None:
+    def news(members: EndpointUpdate, lines: list[ListedEndpoint]) -> None:
         servers.update_endpoints(lines, members.kind is not UpdateKind.DELTA, members.first, members.last)
         engine.endpoints_updated(members)
         freezer.note(len(lines))
 
-    version = await persist(lambda: read_known(names, memory, news))
+    version = await retry_transient(lambda: read_known(names, memory, news))
     discovery = Discovery(discovery_at, version, names, news, loop, random.Random(seed), memory)
     loop.add_signal_handler(signal.SIGHUP, hangup.set)
     moves = loop.create_task(follow(hangup, discovery, counter))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     with suppress(TimeoutError):
         async with asyncio.timeout(FIRST_NEWS):
-            await discovery.told.wait()
-    await persist(lambda: clients.listen(*listen))
+            await discovery.updated.wait()
+    await retry_transient(lambda: clients.listen(*listen))
     gc.freeze()  # what the start has made lives on: collections need not look at it again
 
     await stop.wait()
@@ -173,12 +184,12 @@
 
 def new_loop() -> asyncio.AbstractEventLoop:
     """The event loop; tried again while the system has no descriptors or memory for it."""
-    last = time.monotonic() + START_PATIENCE
+    last = time.monotonic() + START_RETRY_TIME
     while True:
         try:
             return uvloop.new_event_loop()
         except OSError as error:
-            if error.errno not in PASSING or time.monotonic() > last:
+            if error.errno not in TRANSIENT_ERRORS or time.monotonic() > last:
                 raise
         time.sleep(AGAIN)
 
--- a/tests/bench/test_simulated_fleet.py
+++ b/tests/bench/test_simulated_fleet.py
@@ -5,9 +5,9 @@
 import click
 import pytest
 
-from rushroad.bench import simulated_experiments as experiments
 from rushroad.bench.report import Run
-from rushroad.bench.simulated_fleet import LIST_MOST, MS, SECOND, Attempt, Fleet, HollowServer, Size, size_of
+from rushroad.bench.simulated import experiments
+from rushroad.bench.simulated.fleet import LIST_MOST, MS, SECOND, Attempt, Fleet, HollowServer, Size, size_of
 from rushroad.policy.events import Result
 from rushroad.policy.subsetting import MAX_SUBSET_SIZE
 
@@ -161,7 +161,7 @@
     some = Fleet(size_of("40/300"), 1)
     some.run(1 * SECOND)
     expected = experiments.subsets(40, list(some.servers))
-    kept = [{s.line.name for s in gateway.module._ready} for gateway in some.gateways.values()]
+    kept = [{s.entry.name for s in gateway.module.endpoints.ready} for gateway in some.gateways.values()]
     assert kept == expected
 
 
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -2,9 +2,11 @@
 
 from dataclasses import replace
 
+from msgspec import structs
+
+from rushroad.policy.active_endpoints import REVIEW_PART
 from rushroad.policy.endpoints import EndpointTable
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
-from rushroad.policy.gateway import SHARE_PART
 from rushroad.policy.subsetting import mean_replicas, replicas_of
 from tests.support.endpoint_lists import ENDPOINT_LIMITED, ready_endpoints, usable_names
 from tests.support.gateway_driver import MS, SECOND, Driver
@@ -28,7 +30,9 @@
     driver.members(*endpoints, kind=UpdateKind.CACHED_SNAPSHOT)
     subset = usable_names(driver.gateway)
     draining = [
-        replace(endpoint, state=EndpointState.DRAINING) for endpoint in endpoints if endpoint.name in subset
+        structs.replace(endpoint, state=EndpointState.DRAINING)
+        for endpoint in endpoints
+        if endpoint.name in subset
     ][:3]
     driver.told_off.update((endpoint.name, driver.now) for endpoint in draining)
     driver.feed(EndpointUpdate(UpdateKind.SNAPSHOT, 2, tuple(draining), last=False))
@@ -40,32 +44,33 @@
 
 
 def test_long_list_is_reviewed_in_parts_without_missing_an_endpoint() -> None:
-    settings, endpoints = replace(ENDPOINT_LIMITED, fleet_size=1_000), ready_endpoints(5 * SHARE_PART + 3)
+    settings, endpoints = replace(ENDPOINT_LIMITED, fleet_size=1_000), ready_endpoints(5 * REVIEW_PART + 3)
     driver = Driver(settings, servers=0)
     reviewed = [0]  # endpoints, in each step of the gateway
-    update, look_on = driver.gateway._update, driver.gateway._look_on
+    active = driver.gateway.endpoints
+    update, review_next_part = active.update, active.review_next_part
 
-    def count_update(line: Endpoint) -> None:
+    def count_update(entry: Endpoint, now: int) -> None:
         reviewed[-1] += 1
-        update(line)
+        update(entry, now)
 
-    def count_step() -> None:
+    def count_step(now: int) -> bool:
         reviewed.append(0)
-        look_on()
+        return review_next_part(now)
 
-    driver.gateway._update = count_update  # type: ignore[method-assign]
-    driver.gateway._look_on = count_step  # type: ignore[method-assign]
+    active.update = count_update  # type: ignore[method-assign]
+    active.review_next_part = count_step  # type: ignore[method-assign]
     for start in range(0, len(endpoints), 250):
         reviewed.append(0)
         end = start + 250
         driver.feed(
             EndpointUpdate(UpdateKind.SNAPSHOT, 1, endpoints[start:end], start == 0, end >= len(endpoints))
         )
-    removed = replace(endpoints[3], state=EndpointState.REMOVED)
+    removed = structs.replace(endpoints[3], state=EndpointState.REMOVED)
     driver.feed(EndpointUpdate(UpdateKind.DELTA, 2, (removed,)))  # while the review is in progress
     driver.wait(1 * SECOND)
     mean = mean_replicas(1_000, len(endpoints))
-    assert max(reviewed) <= SHARE_PART + 250
+    assert max(reviewed) <= REVIEW_PART + 250
     assert usable_names(driver.gateway) == {
         endpoint.name
         for endpoint in endpoints
@@ -79,7 +84,11 @@
     driver.members(*endpoints, kind=UpdateKind.CACHED_SNAPSHOT)
     driver.wait(1 * SECOND)
     driver.members(
-        *(replace(endpoint, state=EndpointState.REMOVED) for endpoint in endpoints if endpoint.cell % 24 == 0)
+        *(
+            structs.replace(endpoint, state=EndpointState.REMOVED)
+            for endpoint in endpoints
+            if endpoint.cell % 24 == 0
+        )
     )
     driver.wait(1 * SECOND)
     for tenant in range(200):
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -5,6 +5,7 @@
 from itertools import pairwise
 
 import pytest
+from msgspec import structs
 
 from rushroad.policy.actions import StartAttempt
 from rushroad.policy.events import EndpointState, EndpointUpdate, Result, UpdateKind
@@ -101,7 +102,7 @@
         assert subset == {
             entry.name for entry, indexes in zip(endpoints, replicas, strict=True) if index in indexes
         }
-        delta = (replace(removed, state=EndpointState.REMOVED),)
+        delta = (structs.replace(removed, state=EndpointState.REMOVED),)
         gateway.handle(START, EndpointUpdate(UpdateKind.DELTA, 2, delta))
         # The 99 that stay have one replica more.
         kept_subsets += subset - {removed.name} <= usable_names(gateway)
@@ -121,10 +122,10 @@
 def test_endpoint_outside_the_subset_has_no_state_but_its_entry() -> None:
     driver = Driver(ENDPOINT_LIMITED, servers=0)
     driver.members(*ready_endpoints(400), kind=UpdateKind.CACHED_SNAPSHOT)
-    tracked = len(driver.gateway._servers)
-    outside = next(entry for entry in ready_endpoints(400) if entry.name not in driver.gateway._servers)
-    driver.members(replace(outside, started_at=driver.now))
-    assert len(driver.gateway._servers) == tracked < 40
+    tracked = len(driver.gateway.endpoints)
+    outside = next(entry for entry in ready_endpoints(400) if entry.name not in driver.gateway.endpoints)
+    driver.members(structs.replace(outside, started_at=driver.now))
+    assert len(driver.gateway.endpoints) == tracked < 40
 
 
 # --- endpoints borrowed from outside the subset ---------------------------------------------------------
@@ -137,7 +138,11 @@
         driver.members(*endpoints, kind=UpdateKind.CACHED_SNAPSHOT)
         subset = usable_names(driver.gateway)
         driver.members(
-            *(replace(entry, state=EndpointState.DRAINING) for entry in endpoints if entry.name in subset)
+            *(
+                structs.replace(entry, state=EndpointState.DRAINING)
+                for entry in endpoints
+                if entry.name in subset
+            )
         )
         driver.wait(2 * SECOND)
         for tenant in range(8):
@@ -153,7 +158,9 @@
     driver.members(*endpoints, kind=UpdateKind.CACHED_SNAPSHOT)
     subset = usable_names(driver.gateway)
     warming_up = [
-        replace(entry, started_at=driver.now) for entry in endpoints if entry.name in subset or entry.cell < 5
+        structs.replace(entry, started_at=driver.now)
+        for entry in endpoints
+        if entry.name in subset or entry.cell < 5
     ]
     driver.members(*warming_up)
     for tenant in range(8):
