--- a/tests/integration/test_standing_terms.py
+++ b/tests/integration/test_standing_terms.py
@@ -33,20 +33,16 @@
 from rushroad.proxy.discovery import Discovery
 from rushroad.proxy.engine import Engine
 from rushroad.proxy.upstream import Upstream
-from tests.integration.test_process import (
-    GATEWAY,
-    PATIENCE,
-    RUN,
-    accept,
-    config,
-    connect,
-    free_port,
-    listener,
-    start,
-)
 from tests.proxy.test_engine import Module
 from tests.proxy.test_upstream import LONG, OK, at
 from tests.support.gateway_driver import SETTINGS
+from tests.support.gateway_process import GATEWAY_HOST as GATEWAY
+from tests.support.gateway_process import PROCESS_TIMEOUT as PATIENCE
+from tests.support.gateway_process import RUN_COMMAND as RUN
+from tests.support.gateway_process import accept, connect, free_port
+from tests.support.gateway_process import configuration as config
+from tests.support.gateway_process import listen as listener
+from tests.support.gateway_process import running_gateway as start
 from tests.support.loopback import LOCAL, NAMES, SCHEMA, Heard, Peer, call, resp, run
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close resets
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -22,9 +22,11 @@
 from rushroad.proxy.json_splitter import RUN_BYTES, JsonRun, JsonSplitter
 from rushroad.proxy.nonblocking_log import NonBlockingLog
 from rushroad.proxy.upstream import Connection, Upstream
-from tests.integration.test_process import config, connect, free_port, start
 from tests.proxy.test_discovery import HEAD, chunk, line
 from tests.proxy.test_upstream import FAST, OK, held
+from tests.support.gateway_process import configuration as config
+from tests.support.gateway_process import connect, free_port
+from tests.support.gateway_process import running_gateway as start
 from tests.support.loopback import LOCAL, NAMES, Heard, Peer, call, run
 
 LONG = 20_000  # entries
--- a/tests/support/gateway_cluster.py
+++ b/tests/support/gateway_cluster.py
@@ -22,7 +22,7 @@
 from rushroad.bench.stand_ins.counter import Counter
 from rushroad.bench.stand_ins.replies import Replies, Reply
 from rushroad.proxy import resp
-from tests.integration.test_process import PATIENCE, ROOT, RUN
+from tests.support.gateway_process import PROCESS_TIMEOUT, ROOT, RUN_COMMAND
 
 HOST = "127.91.0.2"  # where the gateways listen: nothing else takes ports there
 TICK = 0.01  # seconds between looks at how late this process itself is
@@ -290,7 +290,7 @@
         env = {**os.environ, "EDGE_CONFIG": str(self.file(number)), **self.faults.get(number, {})}
         with (self.folder / f"n{number}.log").open("ab") as log:
             self.processes[number] = subprocess.Popen(
-                ["/bin/sh", "-c", f"ulimit -n {self.sockets}; {RUN}"],
+                ["/bin/sh", "-c", f"ulimit -n {self.sockets}; {RUN_COMMAND}"],
                 cwd=ROOT,
                 env=env,
                 stdin=subprocess.DEVNULL,
@@ -301,7 +301,7 @@
 
     async def ready(self, number: int = 0) -> None:
         """Wait until a gateway answers PING."""
-        last = time.monotonic() + PATIENCE
+        last = time.monotonic() + PROCESS_TIMEOUT
         while time.monotonic() < last:
             assert self.processes[number].poll() is None, self.log(number)
             with suppress(ConnectionError):
@@ -323,7 +323,7 @@
 
     async def ended(self, number: int = 0) -> int:
         """Wait for a gateway's end; its exit status."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(PROCESS_TIMEOUT):
             while (status := self.processes[number].poll()) is None:
                 await asyncio.sleep(0.01)
         return status
