--- a/tests/integration/test_unavailable_peers.py
+++ b/tests/integration/test_unavailable_peers.py
@@ -16,18 +16,18 @@
 from rushroad.policy.events import EndpointUpdate
 from rushroad.proxy import discovery
 from rushroad.proxy.discovery import Discovery
-from tests.integration.test_process import (
-    GATEWAY,
-    PATIENCE,
-    RUN,
+from tests.support.client_side import PING, PONG
+from tests.support.gateway_process import (
+    GATEWAY_HOST,
+    PROCESS_TIMEOUT,
+    RUN_COMMAND,
     accept,
-    config,
+    configuration,
     connect,
     free_port,
-    listener,
-    start,
+    listen,
+    running_gateway,
 )
-from tests.support.client_side import PING, PONG
 from tests.support.loopback import LOCAL, NAMES, call, run
 
 MAX_SOCKETS = 128
@@ -52,11 +52,13 @@
 def test_many_idle_clients_do_not_block_discovery_and_the_counter(tmp_path: Path, moved: bool) -> None:
     # They connect while the watch and the counter are down, faster than the process can close any.
     with contextlib.ExitStack() as stack:
-        discovery, elsewhere, counter, server = (stack.enter_context(listener()) for _ in range(4))
+        discovery, elsewhere, counter, server = (stack.enter_context(listen()) for _ in range(4))
         listen = free_port()
-        text = config(port_of(discovery), port_of(counter), listen)
+        text = configuration(port_of(discovery), port_of(counter), listen)
         text["limits"]["sockets"] = MAX_SOCKETS
-        process = stack.enter_context(start(tmp_path, json.dumps(text), f"ulimit -n {MAX_SOCKETS}; {RUN}"))
+        process = stack.enter_context(
+            running_gateway(tmp_path, json.dumps(text), f"ulimit -n {MAX_SOCKETS}; {RUN_COMMAND}")
+        )
         watch, first = accept(discovery, process), connect(listen, process)
         first.sendall(PING)
         assert first.recv(64) == PONG
@@ -70,7 +72,7 @@
             )
             process.send_signal(signal.SIGHUP)
         for _ in range(IDLE_CLIENTS):
-            stack.enter_context(socket.create_connection((GATEWAY, listen))).sendall(PING)
+            stack.enter_context(socket.create_connection((GATEWAY_HOST, listen))).sendall(PING)
         process.send_signal(signal.SIGCONT)
 
         for _ in range(2):
@@ -79,13 +81,13 @@
         assert watch.recv(4096).startswith(b"GET /v1/servers?watch=1&from=41 ")
         send_snapshot(watch, port_of(server))
         client = stack.enter_context(connect(listen, process))
-        numbers, last = itertools.count(1), time.monotonic() + PATIENCE
+        numbers, last = itertools.count(1), time.monotonic() + PROCESS_TIMEOUT
         while not select.select([server], [], [], 0)[0]:  # until the snapshot is known
             client.sendall(call(next(numbers), b"c=lookup,t=basic,d=900,units=1,spread=1,first=0"))
             assert client.recv(64)
             assert time.monotonic() < last, "no request is forwarded to the endpoint of the new snapshot"
         process.send_signal(signal.SIGTERM)
-        assert process.wait(timeout=PATIENCE) == 0
+        assert process.wait(timeout=PROCESS_TIMEOUT) == 0
 
 
 @pytest.mark.parametrize(
@@ -94,19 +96,19 @@
 )
 def test_start_waits_for_neither_discovery_nor_the_counter(tmp_path: Path, agent: str, counter: str) -> None:
     with contextlib.ExitStack() as stack:
-        peers = {how: stack.enter_context(listener()) for how in ("silent", "full", "odd")}
+        peers = {how: stack.enter_context(listen()) for how in ("silent", "full", "odd")}
         fill_backlog(peers["full"], stack)
         ports = {how: port_of(peer) for how, peer in peers.items()} | {"none": 1}
         listen = free_port()
-        text = json.dumps(config(ports[agent], ports[counter], listen), indent="\t")
-        process = stack.enter_context(start(tmp_path, "\r\n " + text))
+        text = json.dumps(configuration(ports[agent], ports[counter], listen), indent="\t")
+        process = stack.enter_context(running_gateway(tmp_path, "\r\n " + text))
         if agent == "odd":
             accept(peers["odd"], process).sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}")
         client = stack.enter_context(connect(listen, process))
         client.sendall(PING)
         assert client.recv(64) == PONG
         process.send_signal(signal.SIGTERM)
-        assert process.wait(timeout=PATIENCE) == 0
+        assert process.wait(timeout=PROCESS_TIMEOUT) == 0
 
 
 def fill_backlog(peer: socket.socket, stack: contextlib.ExitStack) -> None:
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -24,9 +24,11 @@
 from rushroad.proxy.nonblocking_log import NonBlockingLog
 from rushroad.proxy.upstream import Upstream
 from rushroad.proxy.upstream_connection import UpstreamConnection
-from tests.integration.test_process import config, connect, free_port, start
 from tests.proxy.test_discovery import HEAD, chunk, line
 from tests.support.attempts import FAST, OK, request_in_flight
+from tests.support.gateway_process import configuration as config
+from tests.support.gateway_process import connect, free_port
+from tests.support.gateway_process import running_gateway as start
 from tests.support.loopback import LOCAL, NAMES, Heard, Peer, call, run
 
 LONG = 20_000  # entries
