--- /dev/null
+++ b/tests/integration/test_large_endpoint_list.py
@@ -0,0 +1,43 @@
+"""The program with an endpoint list of the largest fleet: its start, and its memory."""
+
+import contextlib
+import json
+import socket
+from pathlib import Path
+
+from tests.integration.test_process import config, connect, free_port, start
+from tests.proxy.test_upstream import OK
+from tests.support.loopback import LOCAL, call
+from tests.support.watch import HEAD, chunk, list_entries, list_line
+
+ENDPOINTS = 97_000
+MAX_MEMORY = 128_000  # KB
+
+
+def test_process_starts_from_97000_endpoints_within_its_memory_limit(tmp_path: Path) -> None:
+    with contextlib.ExitStack() as stack:
+        peers = [stack.enter_context(socket.create_server((LOCAL, 0))) for _ in range(3)]
+        discovery, counter, endpoint = (peer.getsockname()[1] for peer in peers)
+        text = config(discovery, counter, free_port())
+        fields = {"zone": "a", "machineType": "m2", "cell": 3, "weight": 1.0, "startedAtMs": 0}
+        fields["hostPort"] = f"{LOCAL}:{endpoint}"
+        listed = [entry | fields for entry in list_entries(ENDPOINTS)]
+        known = json.dumps({"generation": 41, "reset": True, "instances": listed}, indent=2)
+        text |= {"known": "KNOWN", "settings": text["settings"] | {"fleetSize": 4_900}}
+        process = stack.enter_context(start(tmp_path, json.dumps(text).replace('"KNOWN"', known)))
+        stack.callback(process.kill)
+        watch = stack.enter_context(peers[0].accept()[0])
+        assert watch.recv(4096).startswith(b"GET /v1/servers?watch=1&from=41 ")
+        client = stack.enter_context(connect(int(text["listen"].split(":")[1]), process))
+        client.sendall(call(1, b"c=lookup,t=basic,d=9000,units=1,spread=1,first=0"))
+        attempt = stack.enter_context(peers[2].accept()[0])
+        assert attempt.recv(4096) != b""
+        attempt.sendall(OK)
+        assert client.recv(64) == b"$5\r\nvalue\r\n"
+        newer = known.replace('"generation": 41', '"generation": 42') + "\n"
+        watch.sendall(HEAD + chunk(newer.encode()) + chunk(b"\n" + list_line(43, lifecycle="DRAINING")))
+        watch.close()  # when all of it has been decoded, another is opened
+        while b"from=43 " not in stack.enter_context(peers[0].accept()[0]).recv(4096):
+            pass
+        status = Path(f"/proc/{process.pid}/status").read_text()
+        assert int(status.split("VmHWM:")[1].split()[0]) < MAX_MEMORY
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -1,91 +1,29 @@
-"""The watch on a loopback socket: what is taken, how it resumes, and when it is dead."""
+"""The watch on a loopback peer: requests, reconnects, silence, moves and the order of versions."""
 
 import asyncio
 import json
 import random
-from collections.abc import Awaitable, Callable
 from typing import Any, cast
 
 import pytest
 
-from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
-from rushroad.proxy import discovery as module
-from rushroad.proxy import endpoint_decoder
-from rushroad.proxy.address import Address
+from rushroad.policy.events import EndpointState, UpdateKind
+from rushroad.proxy import discovery as discovery_module
 from rushroad.proxy.discovery import Discovery
-from rushroad.proxy.nonblocking_log import NonBlockingLog
 from tests.support.loopback import LOCAL, NAMES, Late, Peer, run
+from tests.support.watch import HEAD, LONG_LIST_VERSION, Watch, chunk, list_line, long_list, play
 
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
-Told = asyncio.Queue[tuple[EndpointUpdate, list[tuple[Endpoint, Address]]]]
-
-
-@pytest.fixture(autouse=True)
-def fresh_log(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What other tests have logged in the same second must not crowd out the lines of this one."""
-    log = NonBlockingLog()
-    monkeypatch.setattr(module, "log", log)
-    monkeypatch.setattr(endpoint_decoder, "log", log)
-
-
-def line(generation: int, reset: bool = False, **fields: Any) -> bytes:
-    entry = {
-        "instanceId": "s-1",
-        "hostPort": "127.0.0.1:81",
-        "zone": "room",
-        "machineType": "box",
-        "cell": 3,
-        "lifecycle": "SERVING",
-        "weight": 1.0,
-        "startedAtMs": 5,
-    }
-    text = {"generation": generation, "reset": reset, "instances": [entry | fields]}
-    return json.dumps(text).encode() + b"\n"
-
-
-def chunk(data: bytes) -> bytes:
-    return b"%x\r\n%b\r\n" % (len(data), data)
-
-
-def play(scenario: Callable[[Peer, Told, Discovery], Awaitable[None]]) -> None:
-    async def start() -> None:
-        told: Told = asyncio.Queue()
-        async with Peer() as peer:
-            loop = asyncio.get_running_loop()
-            address, chance = (LOCAL, peer.port), random.Random(1)
-            watch = Discovery(address, 41, NAMES, lambda *news: told.put_nowait(news), loop, chance)
-            await scenario(peer, told, watch)
-            watch.close()
-
-    run(start)
-
-
-def test_news_comes_in_lines_however_they_are_cut() -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        data = await peer.answer(HEAD)
-        assert data.startswith(b"GET /v1/servers?watch=1&from=41 HTTP/1.1\r\nHost: ")
-        text = b"\n" + line(42) + b"\n" + line(43, lifecycle="DRAINING")
-        for part in (text[:50], text[50:]):
-            peer.writers[0].write(chunk(part))
-        members, lines = await told.get()
-        member = Endpoint(
-            "s-1", EndpointState.READY, endpoint_class=1, zone=0, cell=3, started_at=5_000, weight=1.0
-        )
-        assert members == EndpointUpdate(UpdateKind.DELTA, 42, (member,))
-        assert lines == [(member, (LOCAL, 81))]
-        assert (await told.get())[0].endpoints[0].state is EndpointState.DRAINING
-
-    play(scenario)
+pytestmark = pytest.mark.usefixtures("fresh_log")
 
 
-def test_a_watch_that_ends_is_resumed_from_where_it_was_and_a_reset_replaces_the_list() -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await peer.answer(HEAD + chunk(line(77)))
-        await told.get()
-        peer.writers[0].transport.abort()
-        assert (await peer.hear())[1] == b""
-        assert b"from=77 " in await peer.answer(HEAD + chunk(line(90, reset=True)))
-        assert (await told.get())[0].kind is UpdateKind.SNAPSHOT
+def test_ended_watch_resumes_from_its_version_and_a_reset_sends_a_snapshot() -> None:
+    async def scenario(watch: Watch) -> None:
+        await watch.peer.answer(HEAD + chunk(list_line(77)))
+        await watch.next_update()
+        watch.peer.writers[0].transport.abort()
+        assert (await watch.peer.hear())[1] == b""
+        assert b"from=77 " in await watch.peer.answer(HEAD + chunk(list_line(90, reset=True)))
+        assert (await watch.next_update()).kind is UpdateKind.SNAPSHOT
 
     play(scenario)
 
@@ -102,283 +40,218 @@
         HEAD + b"0\r\n\r\n",
     ],
 )
-def test_what_is_no_watch_is_left_and_another_is_opened(reply: bytes) -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await peer.answer(reply)
-        while (heard := (await peer.hear())[1]) == b"":
-            pass
-        assert b"from=41 " in heard
-        assert told.empty()
+def test_malformed_response_closes_the_watch_and_another_is_opened(reply: bytes) -> None:
+    async def scenario(watch: Watch) -> None:
+        await watch.peer.answer(reply)
+        assert b"from=41 " in await watch.next_request()
+        assert not watch.updates
 
     play(scenario)
 
 
-def test_watches_that_fail_come_later_and_later_until_one_is_good(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards discovery against a fleet whose watches all fail because all of them ask again at once.
+def test_failing_watches_back_off_until_one_receives_a_list(monkeypatch: pytest.MonkeyPatch) -> None:
+    # A fleet whose watches all fail must not ask discovery again at once, all together.
     pauses: list[float] = []
     sleep = asyncio.sleep
 
-    async def noted(span: float) -> None:
-        pauses.append(span)
+    async def record_pause(pause: float) -> None:
+        pauses.append(pause)
         await sleep(0)
 
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
+    async def scenario(watch: Watch) -> None:
         for _ in range(8):
-            await peer.answer(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
-            assert (await peer.hear())[1] == b""
-        writer, _ = await peer.hear()
-        writer.write(HEAD + chunk(line(42)))
-        await told.get()
+            await watch.peer.answer(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
+            assert (await watch.peer.hear())[1] == b""
+        writer, _ = await watch.peer.hear()
+        writer.write(HEAD + chunk(list_line(42)))
+        await watch.next_update()
         writer.transport.abort()
-        assert (await peer.hear())[1] == b""
-        await peer.hear()
+        assert (await watch.peer.hear())[1] == b""
+        await watch.peer.hear()
 
-    monkeypatch.setattr("rushroad.proxy.discovery.asyncio.sleep", noted)
+    monkeypatch.setattr("rushroad.proxy.discovery.asyncio.sleep", record_pause)
     play(scenario)
-    spans = [min(module.MAX_RECONNECT_PAUSE, module.FIRST_RECONNECT_PAUSE * 2**n) for n in range(8)] + [
-        module.FIRST_RECONNECT_PAUSE
-    ]
-    assert all(span / 2 <= pause <= span for pause, span in zip(pauses, spans, strict=True))
-
-
-def test_a_silent_watch_tells_on_until_another_speaks(monkeypatch: pytest.MonkeyPatch) -> None:
-    # What a silent watch misses counts as told soon after; what it tells after all is no less true.
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await peer.answer(HEAD + chunk(line(42)))
-        await told.get()
-        writer, heard = await peer.hear()  # nothing was closed before that
+    first, longest = discovery_module.FIRST_RECONNECT_PAUSE, discovery_module.MAX_RECONNECT_PAUSE
+    expected = [min(longest, first * 2**n) for n in range(8)] + [first]
+    assert all(limit / 2 <= pause <= limit for pause, limit in zip(pauses, expected, strict=True))
+
+
+def test_silent_watch_is_read_until_another_receives_data(monkeypatch: pytest.MonkeyPatch) -> None:
+    # What a silent watch misses counts as notified soon after; what it sends after all is no less true.
+    async def scenario(watch: Watch) -> None:
+        await watch.peer.answer(HEAD + chunk(list_line(42)))
+        await watch.next_update()
+        writer, heard = await watch.peer.hear()  # nothing was closed before that
         assert b"from=42 " in heard
-        monkeypatch.setattr(module, "SILENCE_TIMEOUT", 9.0)
-        peer.writers[0].write(chunk(line(43)))
-        assert (await told.get())[0].version == 43
+        monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT", 9.0)
+        watch.peer.writers[0].write(chunk(list_line(43)))
+        assert (await watch.next_update()).version == 43
         writer.write(HEAD + chunk(b"\n"))
-        while (await peer.hear())[1] != b"":
+        while (await watch.peer.hear())[1] != b"":
             pass
-        writer.write(chunk(line(44)))
-        assert (await told.get())[0].version == 44
+        writer.write(chunk(list_line(44)))
+        assert (await watch.next_update()).version == 44
 
-    assert (
-        2 * 2.0 < module.SILENCE_TIMEOUT < 6.0 - 1.0
-    )  # two heartbeats; with time to open another before it matters
-    monkeypatch.setattr(module, "SILENCE_TIMEOUT", 0.05)
+    # Over two heartbeats, with time to open another watch before an update counts as notified.
+    assert 2 * 2.0 < discovery_module.SILENCE_TIMEOUT < 6.0 - 1.0
+    monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT", 0.05)
     play(scenario)
 
 
-def test_an_agent_that_says_nothing_is_asked_again_and_may_answer_any_of_the_watches() -> None:
-    # One that is back after an outage answers at once, perhaps on a connection it had taken before.
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        first, _ = await peer.hear()
-        second, heard = await peer.hear()
-        assert heard.startswith(b"GET ") and second is not first
-        first.write(HEAD + chunk(line(42)))
-        assert (await told.get())[0].version == 42
-        while (ended := await peer.hear())[1] != b"":
+def test_unanswered_watch_stays_open_beside_the_next_and_either_may_be_answered() -> None:
+    # An agent that is back after an outage answers at once, perhaps on a connection it had accepted before.
+    async def scenario(watch: Watch) -> None:
+        first, _ = await watch.peer.hear()
+        second, heard = await watch.peer.hear()
+        assert heard.startswith(b"GET ")
+        assert second is not first
+        first.write(HEAD + chunk(list_line(42)))
+        assert (await watch.next_update()).version == 42
+        while (ended := await watch.peer.hear())[1] != b"":
             pass
         assert ended[0] is not first
 
-    assert (
-        module.RESPONSE_TIMEOUT + module.MAX_RECONNECT_PAUSE <= 0.5
-    )  # the least grace of a drain that the settings have had
+    # The shortest drain grace that the settings have had.
+    assert discovery_module.RESPONSE_TIMEOUT + discovery_module.MAX_RECONNECT_PAUSE <= 0.5
     play(scenario)
 
 
-def test_watches_without_an_answer_do_not_pile_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "RESPONSE_TIMEOUT", 0.001)
-    monkeypatch.setattr(module, "MAX_RECONNECT_PAUSE", 0.001)
-    monkeypatch.setattr(module, "FIRST_RECONNECT_PAUSE", 0.001)
+def test_pending_watches_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(discovery_module, "RESPONSE_TIMEOUT", 0.001)
+    monkeypatch.setattr(discovery_module, "MAX_RECONNECT_PAUSE", 0.001)
+    monkeypatch.setattr(discovery_module, "FIRST_RECONNECT_PAUSE", 0.001)
+    limit = discovery_module.MAX_PENDING_WATCHES
 
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
+    async def scenario(watch: Watch) -> None:
         opened = closed = 0
-        while opened < 3 * module.MAX_PENDING_WATCHES or closed < module.MAX_PENDING_WATCHES:
-            heard = (await peer.hear())[1]
+        while opened < 3 * limit or closed < limit:
+            heard = (await watch.peer.hear())[1]
             opened, closed = opened + (heard != b""), closed + (heard == b"")
-            assert len(watch._pending) <= module.MAX_PENDING_WATCHES
-
-    play(scenario)
-
-
-INDENTED = json.dumps(json.loads(line(42)), indent=2).encode() + b"\n"
-CUT = INDENTED[: INDENTED.index(b'"zone"')]
-
-
-@pytest.mark.parametrize("step", [1, 7, 100_000])
-@pytest.mark.parametrize("text", [INDENTED, b"\r\n" + INDENTED.replace(b"\n", b"\r\n"), INDENTED.strip()])
-def test_an_object_may_come_indented_and_in_pieces(text: bytes, step: int) -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await peer.answer(HEAD)
-        for at in range(0, len(text), step):
-            peer.writers[0].write(chunk(text[at : at + step]))
-            await asyncio.sleep(0)
-        assert (await told.get())[0].endpoints[0].name == "s-1"
-        peer.writers[0].write(chunk(b"\n" + line(43)))
-        assert (await told.get())[0].version == 43
+            assert len(watch.discovery._pending) <= limit
 
     play(scenario)
 
 
-@pytest.mark.parametrize("text", [INDENTED + line(43), line(42).strip() + line(43), line(42) + line(43)[:-1]])
-def test_objects_that_come_together_are_all_taken(text: bytes) -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await peer.answer(HEAD + chunk(text))
-        assert [(await told.get())[0].version for _ in range(2)] == [42, 43]
+def test_watch_with_a_response_head_but_no_body_is_not_established() -> None:
+    async def scenario(watch: Watch) -> None:
+        await watch.peer.answer(HEAD)
+        assert b"from=41 " in await watch.next_request()
+        assert watch.discovery._watch is None
 
     play(scenario)
 
 
-@pytest.mark.parametrize("rest", [b"\n\n", line(43), INDENTED, b"]}\n"])
-def test_after_an_object_that_breaks_off_the_watch_is_opened_again(rest: bytes) -> None:
-    # What follows would be taken for its rest, for as long as heartbeats keep the watch up.
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await peer.answer(HEAD + chunk(line(42)) + chunk(CUT.rstrip(b" ")) + chunk(rest))
-        assert (await told.get())[0].version == 42
-        while (heard := (await peer.hear())[1]) == b"":
-            pass
-        assert b"from=42 " in heard
-        assert told.empty()
+@pytest.mark.parametrize("end", [b"zz\r\n", b"", chunk(b"\n\n"), chunk(list_line(51))])
+def test_list_that_breaks_off_has_no_last_part_and_is_requested_again(end: bytes) -> None:
+    # No endpoint is removed because the list doesn't name it; but what came, also drains, stays valid.
+    async def scenario(watch: Watch) -> None:
+        text = long_list()
+        cut = text[: text.index(b'{"instanceId": "s-9000"')].rstrip(b", ")
+        await watch.peer.answer(HEAD + chunk(cut) + end)
+        if not end:
+            watch.peer.writers[0].close()
+        assert b"from=41 " in await watch.next_request()
+        assert watch.endpoint_names() == [f"s-{n}" for n in range(9000)]
+        assert not any(update.last for update in watch.updates)
+        assert watch.discovery.version == 41
 
     play(scenario)
 
 
-def test_older_news_never_undoes_newer() -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await peer.answer(HEAD + chunk(line(45, lifecycle="DRAINING")))
-        assert (await told.get())[0].endpoints[0].state is EndpointState.DRAINING
-        async with Peer() as other:  # moved to one that lags behind
-            watch.move((LOCAL, other.port))
-            await other.answer(HEAD + chunk(line(44, reset=True)) + chunk(line(44)) + chunk(line(46)))
-            assert (await told.get())[0].version == 46
-            assert watch.version == 46
-            watch.close()
+def test_older_version_never_undoes_a_newer_one() -> None:
+    async def scenario(watch: Watch) -> None:
+        await watch.peer.answer(HEAD + chunk(list_line(45, lifecycle="DRAINING")))
+        assert (await watch.next_update()).endpoints[0].state is EndpointState.DRAINING
+        async with Peer() as other:  # moved to an agent that lags behind
+            watch.discovery.move((LOCAL, other.port))
+            older = chunk(list_line(44, reset=True)) + chunk(list_line(44))
+            await other.answer(HEAD + older + chunk(list_line(46)))
+            assert (await watch.next_update()).version == 46
+            assert watch.discovery.version == 46
+            watch.discovery.close()
 
     play(scenario)
 
 
-@pytest.mark.parametrize(
-    "fields",
-    [
-        {"reset": "false"},
-        {"reset": None},
-        {"generation": 1 << 80},
-        {"generation": -1},
-        {"generation": "43"},
-        {"generation": 43.0},
-        {"generation": True},
-        {"instances": {}},
-        {"instances": "none"},
-        {"instances": None},
-        {"reset": True, "instances": [3, {}]},
-    ],
-)
-def test_an_odd_list_changes_nothing_and_the_watch_is_opened_again(fields: dict[str, Any]) -> None:
-    # Taken for what it seems, it would leave nobody to send to, or make all later news look old.
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await peer.answer(HEAD + chunk(json.dumps(json.loads(line(42)) | fields).encode() + b"\n"))
-        while (heard := (await peer.hear())[1]) == b"":
-            pass
-        assert b"from=41 " in heard
-        assert told.empty()
+def test_older_long_list_is_ignored() -> None:
+    async def scenario(watch: Watch) -> None:
+        assert LONG_LIST_VERSION < 60
+        await watch.peer.answer(HEAD + chunk(list_line(60)) + chunk(long_list()) + chunk(list_line(61)))
+        await watch.until_version(61)
+        assert [update.version for update in watch.updates] == [60, 61]
 
     play(scenario)
 
 
-@pytest.mark.parametrize("lifecycle", ["DRAINING", "DELETED"])
-@pytest.mark.parametrize(
-    "fields", [{"hostPort": None}, {"hostPort": "x"}, {"weight": "x"}, {"cell": None}, {"zone": []}]
-)
-def test_one_to_be_sent_nothing_is_told_of_however_odd_its_entry(
-    lifecycle: str, fields: dict[str, Any]
-) -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await peer.answer(HEAD + chunk(line(44, lifecycle=lifecycle, **fields)))
-        (member,) = (await told.get())[0].endpoints
-        assert (member.name, member.state) == ("s-1", endpoint_decoder.ENDPOINT_STATES[lifecycle])
+def test_drains_of_a_list_that_broke_off_are_not_undone_by_an_older_list() -> None:
+    def cut_list(version: int, lifecycle: str, end: str) -> bytes:
+        listed = [{"instanceId": name, "hostPort": "h:1", "lifecycle": lifecycle} for name in ("s-1", "x")]
+        text = json.dumps({"generation": version, "reset": True, "instances": listed})
+        return chunk(text.removesuffix("]}").encode() + end.encode())
+
+    async def scenario(watch: Watch) -> None:
+        await watch.peer.answer(HEAD + cut_list(50, "DRAINING", "\n\n"))
+        assert b"from=41 " in await watch.next_request()
+        older = cut_list(49, "SERVING", "]}\n") + chunk(list_line(49, instanceId="y"))
+        watch.peer.writers[-1].write(HEAD + older)
+        await watch.until_version(49)
+        watch.peer.writers[-1].write(chunk(list_line(50)))
+        await watch.until_version(50)
+        assert [[(e.name, e.state) for e in update.endpoints] for update in watch.updates] == [
+            [("s-1", EndpointState.DRAINING), ("x", EndpointState.DRAINING)],
+            [],
+            [("y", EndpointState.READY)],
+            [("s-1", EndpointState.READY)],
+        ]
 
     play(scenario)
 
 
-def test_a_connect_that_comes_up_as_the_watch_moves_is_not_used() -> None:
+def test_connect_that_completes_after_a_move_sends_no_request() -> None:
     async def scenario() -> None:
-        told: Told = asyncio.Queue()
         async with Peer() as peer, Peer() as other:
             late = Late()
             loop = cast(asyncio.AbstractEventLoop, late)
-            address, chance = (LOCAL, peer.port), random.Random(1)
-            watch = Discovery(address, 41, NAMES, lambda *news: told.put_nowait(news), loop, chance)
+            address, generator = (LOCAL, peer.port), random.Random(1)
+            updates: list[Any] = []
+            discovery = Discovery(address, 41, NAMES, lambda *update: updates.append(update), loop, generator)
             await late.asked.wait()
-            watch.move((LOCAL, other.port))
+            discovery.move((LOCAL, other.port))
             await late.done.wait()
-            assert (await peer.hear())[1] == b""  # closed with nothing asked
+            assert (await peer.hear())[1] == b""  # closed without a request
             late.go_on.set()
             assert b"from=41 " in (await other.hear())[1]
-            watch.close()
+            discovery.close()
 
     run(scenario)
 
 
-@pytest.mark.parametrize(
-    "fields",
-    [
-        {"lifecycle": "ODD"},
-        {"lifecycle": []},
-        {"hostPort": "here"},
-        {"hostPort": "h:99999"},
-        {"weight": "x"},
-        {"weight": float("nan")},
-        {"cell": None},
-        {"machineType": []},
-        {"startedAtMs": float("inf")},
-    ],
-)
-def test_an_entry_that_cannot_be_read_is_left_out_and_told(
-    fields: dict[str, Any], capfd: pytest.CaptureFixture[str]
-) -> None:
-    # Guards the list: the watch would end at that line, now and each time it resumes from the version before.
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        text = json.loads(line(44))
-        text["instances"] += [text["instances"][0] | {"instanceId": "s-2"} | fields, 3]
-        await peer.answer(HEAD + chunk(json.dumps(text).encode() + b"\n") + chunk(line(45)))
-        for _ in range(2):
-            assert [member.name for member in (await told.get())[0].endpoints] == ["s-1"]
-        assert watch.version == 45
-
-    play(scenario)
-    assert capfd.readouterr().err.count("can't be read") == 2
-
-
-def test_one_that_is_gone_needs_no_address() -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await peer.answer(HEAD + chunk(line(44, lifecycle="DELETED", hostPort="")))
-        assert (await told.get())[0].endpoints[0].state is EndpointState.REMOVED
-
-    play(scenario)
-
-
-def test_a_move_watches_elsewhere_from_the_version_at_hand() -> None:
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await peer.answer(HEAD + chunk(line(77)))
-        await told.get()
+def test_move_watches_at_the_new_address_from_the_current_version() -> None:
+    async def scenario(watch: Watch) -> None:
+        await watch.peer.answer(HEAD + chunk(list_line(77)))
+        await watch.next_update()
         async with Peer() as other:
-            watch.move((LOCAL, other.port))
-            watch.move((LOCAL, other.port))
-            assert b"from=77 " in await other.answer(HEAD + chunk(line(78)))
-            assert (await told.get())[0].version == 78
-            assert (await peer.hear())[1] == b""
+            watch.discovery.move((LOCAL, other.port))
+            watch.discovery.move((LOCAL, other.port))
+            assert b"from=77 " in await other.answer(HEAD + chunk(list_line(78)))
+            assert (await watch.next_update()).version == 78
+            assert (await watch.peer.hear())[1] == b""
             assert len(other.writers) == 1
-            watch.close()
+            watch.discovery.close()
 
     play(scenario)
 
 
-def test_until_the_new_address_answers_the_old_watch_tells_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "FIRST_RECONNECT_PAUSE", 0.01)
+def test_old_watch_is_read_until_the_new_address_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(discovery_module, "FIRST_RECONNECT_PAUSE", 0.01)
 
-    async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
-        await peer.answer(HEAD + chunk(line(77)))
-        await told.get()
-        watch.move((LOCAL, 1))  # refused
-        peer.writers[0].write(chunk(line(78)))
-        assert (await told.get())[0].version == 78
-        watch.move((LOCAL, peer.port))
-        assert b"from=78 " in await peer.answer(HEAD)
+    async def scenario(watch: Watch) -> None:
+        await watch.peer.answer(HEAD + chunk(list_line(77)))
+        await watch.next_update()
+        watch.discovery.move((LOCAL, 1))  # connection refused
+        watch.peer.writers[0].write(chunk(list_line(78)))
+        assert (await watch.next_update()).version == 78
+        watch.discovery.move((LOCAL, watch.peer.port))
+        assert b"from=78 " in await watch.peer.answer(HEAD)
 
     play(scenario)
--- /dev/null
+++ b/tests/proxy/test_endpoint_lists.py
@@ -0,0 +1,162 @@
+"""Endpoint lists as Upstream takes them from the watch: pools, removal, and the limit on connections."""
+
+import asyncio
+import json
+import random
+from collections.abc import Awaitable, Callable
+from typing import cast
+
+import pytest
+
+from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, Result
+from rushroad.proxy.endpoint_decoder import MAX_ENDPOINTS_PER_PART, ListedEndpoint
+from rushroad.proxy.engine import Attempt, Engine
+from rushroad.proxy.upstream import Connection, Upstream
+from tests.proxy.test_upstream import FAST, OK, held
+from tests.support.loopback import LOCAL, Heard, Peer, run
+from tests.support.watch import HEAD, LONG_LIST, Watch, chunk, play
+
+
+@pytest.fixture(autouse=True)
+def connections_are_used_again_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("rushroad.proxy.upstream.SETTLE", 0.0)
+
+
+class Sender:
+    """Sends attempts through an Upstream whose endpoints are all one peer."""
+
+    def __init__(self, peer: Peer, max_connections: int = 100) -> None:
+        self.engine, self.peer, self.count = Heard(), peer, 0
+        loop = asyncio.get_running_loop()
+        self.upstream = Upstream(cast(Engine, self.engine), FAST, 60_000_000, max_connections, loop)
+
+    def update(
+        self,
+        numbers: range,
+        is_full: bool,
+        first: bool = True,
+        last: bool = True,
+        state: EndpointState = EndpointState.READY,
+    ) -> None:
+        listed = [(Endpoint(f"s-{n}", state), (LOCAL, self.peer.port)) for n in numbers]
+        self.upstream.update_endpoints(listed, is_full, first, last)
+
+    def send(self, number: int) -> None:
+        self.count += 1
+        attempt = Attempt(self.count, 0, f"s-{number}", held(10, 0), self.engine.clock.now())
+        self.upstream.start(attempt, 10_000_000)
+
+    async def result(self) -> Result:
+        return (await self.engine.ended.get())[1]
+
+    async def send_and_answer(self, number: int) -> asyncio.StreamWriter:
+        """Send an attempt and have it answered; return the peer's end of its connection."""
+        self.send(number)
+        while not (heard := await self.peer.hear())[1]:
+            pass
+        heard[0].write(OK)
+        assert await self.result() is Result.OK
+        return heard[0]
+
+
+def play_sender(scenario: Callable[[Sender], Awaitable[None]], max_connections: int = 100) -> None:
+    async def start() -> None:
+        async with Peer() as peer:
+            await scenario(Sender(peer, max_connections))
+
+    run(start)
+
+
+def test_only_endpoints_with_attempts_have_pools_and_only_while_these_are_needed() -> None:
+    async def scenario(sender: Sender) -> None:
+        sender.update(range(LONG_LIST), True)
+        assert not sender.upstream._pools
+        await sender.send_and_answer(7)
+        assert list(sender.upstream._pools) == ["s-7"]
+        sender.upstream.drop_idle(sender.upstream.loop.time() + 60.0)
+        assert (await sender.peer.hear())[1] == b""
+        sender.upstream._sweep()
+        assert not sender.upstream._pools
+        await sender.send_and_answer(7)
+
+    play_sender(scenario)
+
+
+def test_full_list_in_parts_removes_what_none_of_them_names_and_only_at_its_end() -> None:
+    async def scenario(sender: Sender) -> None:
+        sender.update(range(LONG_LIST), True)
+        await sender.send_and_answer(7)
+        sender.update(range(7), True, last=False)  # breaks off
+        sender.update(range(8, 100), True, last=False)  # begins anew
+        sender.update(range(100, LONG_LIST), True, first=False, last=False)
+        await sender.send_and_answer(7)
+        sender.update(range(0), True, first=False)
+        assert (await sender.peer.hear())[1] == b""  # its idle connection
+        sender.send(7)
+        assert await sender.result() is Result.CONNECT_FAILED
+        await sender.send_and_answer(LONG_LIST - 1)
+
+    play_sender(scenario)
+
+
+def test_at_the_limit_the_connection_idle_for_longest_is_closed_for_a_new_one() -> None:
+    async def scenario(sender: Sender) -> None:
+        sender.update(range(4), True)
+        first, second = await sender.send_and_answer(0), await sender.send_and_answer(1)
+        assert await sender.send_and_answer(0) is first
+        third = await sender.send_and_answer(2)  # in place of the second
+        assert await sender.send_and_answer(0) is first
+        assert await sender.send_and_answer(2) is third
+        assert await sender.send_and_answer(1) is not second
+        sender.update(range(4), False, state=EndpointState.REMOVED)
+        assert sender.upstream.open == 0
+        assert not sender.upstream.idle
+
+    play_sender(scenario, max_connections=2)
+
+
+@pytest.mark.usefixtures("fresh_log")
+def test_of_thousands_removed_at_once_none_is_sent_anything_after_the_part_that_names_it(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    removed_count = 4042
+    removed: set[str] = set()
+    sent_late: list[str] = []
+    carry = Connection.carry
+
+    def record_late(connection: Connection, attempt: Attempt, command: bytes) -> None:
+        sent_late.extend({attempt.endpoint} & removed)
+        carry(connection, attempt, command)
+
+    async def scenario(watch: Watch) -> None:
+        watch.count_turns()
+        async with Peer() as peer:
+            sender, generator = Sender(peer, 1_000), random.Random(2)
+            sender.update(range(LONG_LIST), True)
+
+            def remove(update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
+                removed.update(endpoint.name for endpoint in update.endpoints)
+                sender.upstream.update_endpoints(listed, False)
+                watch.on_update(update, listed)
+
+            watch.discovery._on_update = remove
+            entries = [{"instanceId": f"s-{n}", "lifecycle": "DELETED"} for n in range(removed_count)]
+            text = json.dumps({"generation": 50, "reset": False, "instances": entries}).encode()
+            await watch.peer.answer(HEAD + chunk(text))
+            while watch.discovery.version != 50 or sender.count < 100:
+                sender.send(generator.randrange(removed_count))  # some are connecting when they are removed
+                await asyncio.sleep(0)
+            await watch.until_version(50)
+            for number in range(0, removed_count, 100):
+                sender.send(number)
+            results = [await sender.result() for _ in range(sender.count - sender.upstream.open)]
+            assert results.count(Result.CONNECT_FAILED) >= removed_count // 100
+            assert max(len(update.endpoints) for update in watch.updates) <= MAX_ENDPOINTS_PER_PART
+            assert len(set(watch.turns)) == len(watch.updates)
+            await sender.send_and_answer(removed_count)
+            sender.upstream.close()
+
+    monkeypatch.setattr(Connection, "carry", record_late)
+    play(scenario)
+    assert len(removed) == removed_count
+    assert not sent_late
--- /dev/null
+++ b/tests/support/watch.py
@@ -0,0 +1,119 @@
+"""A discovery watch on a loopback peer, and texts of endpoint lists as discovery sends them."""
+
+import asyncio
+import json
+import random
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+from rushroad.policy.events import EndpointUpdate
+from rushroad.proxy.discovery import Discovery
+from rushroad.proxy.endpoint_decoder import DEFAULT_MEMORY_LIMIT, ListedEndpoint
+from tests.support.loopback import LOCAL, NAMES, Peer, run
+
+HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+CACHED_VERSION = 41  # of the endpoint list that a watch starts from
+LONG_LIST = 20_000  # endpoints
+LONG_LIST_VERSION = 50
+
+
+def chunk(data: bytes) -> bytes:
+    """Data as a chunk of a chunked response."""
+    return b"%x\r\n%b\r\n" % (len(data), data)
+
+
+def list_line(version: int, reset: bool = False, **fields: Any) -> bytes:
+    """A list of one endpoint, s-1, whose fields can be replaced."""
+    entry = {
+        "instanceId": "s-1",
+        "hostPort": "127.0.0.1:81",
+        "zone": "room",
+        "machineType": "box",
+        "cell": 3,
+        "lifecycle": "SERVING",
+        "weight": 1.0,
+        "startedAtMs": 5,
+    }
+    text = {"generation": version, "reset": reset, "instances": [entry | fields]}
+    return json.dumps(text).encode() + b"\n"
+
+
+def list_entries(count: int) -> list[dict[str, Any]]:
+    """Entries s-0, s-1 and so on; the last endpoint is draining, the others are ready."""
+    entries = [
+        {"instanceId": f"s-{n}", "hostPort": f"{LOCAL}:{n % 60_000 + 1}", "lifecycle": "SERVING"}
+        for n in range(count)
+    ]
+    return [*entries[:-1], entries[-1] | {"lifecycle": "DRAINING"}]
+
+
+def long_list(reset: bool = True, indent: int | None = None) -> bytes:
+    """A list of LONG_LIST endpoints."""
+    text = {"generation": LONG_LIST_VERSION, "reset": reset, "instances": list_entries(LONG_LIST)}
+    return json.dumps(text, indent=indent).encode() + b"\n"
+
+
+def long_list_with_its_version_last() -> bytes:
+    """The same list with its keys in another order than the protocol page's."""
+    text = {"instances": list_entries(LONG_LIST), "reset": True, "generation": LONG_LIST_VERSION}
+    return json.dumps(text).encode()
+
+
+class Watch:
+    """A watch on a peer, and the endpoint updates that it has passed on."""
+
+    def __init__(self, peer: Peer, memory_limit: int) -> None:
+        loop = asyncio.get_running_loop()
+        self.peer = peer
+        self.queue: asyncio.Queue[tuple[EndpointUpdate, list[ListedEndpoint]]] = asyncio.Queue()
+        self.updates: list[EndpointUpdate] = []
+        self.turns: list[int] = []  # of the loop, in which each of them came
+        self.turn = 0
+        address, generator = (LOCAL, peer.port), random.Random(1)
+        self.discovery = Discovery(
+            address, CACHED_VERSION, NAMES, self.on_update, loop, generator, memory_limit
+        )
+
+    def count_turns(self) -> None:
+        """Count turns of the loop from now on."""
+        self.turn += 1
+        asyncio.get_running_loop().call_soon(self.count_turns)
+
+    def on_update(self, update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
+        """Note an update."""
+        assert update.endpoints == tuple(endpoint for endpoint, _ in listed)
+        self.updates.append(update)
+        self.turns.append(self.turn)
+        self.queue.put_nowait((update, listed))
+
+    async def next_update(self) -> EndpointUpdate:
+        """The next update that has not been returned yet."""
+        return (await self.queue.get())[0]
+
+    async def until_version(self, version: int) -> None:
+        """Wait until a list of this version is complete."""
+        while self.discovery.version != version:
+            await self.queue.get()
+            await asyncio.sleep(0)
+
+    async def next_request(self) -> bytes:
+        """The next request to the peer; connections that end before it are passed over."""
+        while (heard := (await self.peer.hear())[1]) == b"":
+            pass
+        return heard
+
+    def endpoint_names(self) -> list[str]:
+        """The names in all updates."""
+        return [endpoint.name for update in self.updates for endpoint in update.endpoints]
+
+
+def play(scenario: Callable[[Watch], Awaitable[None]], memory_limit: int = DEFAULT_MEMORY_LIMIT) -> None:
+    """Play a scenario on a new watch."""
+
+    async def start() -> None:
+        async with Peer() as peer:
+            watch = Watch(peer, memory_limit)
+            await scenario(watch)
+            watch.discovery.close()
+
+    run(start)
