--- a/rushroad/bench/simulated_experiments.py
+++ b/rushroad/bench/simulated/experiments.py
@@ -18,7 +18,7 @@
 from msgspec import structs
 
 from rushroad.bench.report import Cell, Run, fit
-from rushroad.bench.simulated_fleet import (
+from rushroad.bench.simulated.fleet import (
     CELL,
     SECOND,
     SETTINGS,
--- a/rushroad/proxy/shutdown.py
+++ b/rushroad/proxy/shutdown.py
@@ -6,7 +6,7 @@
 import signal
 
 from rushroad.policy.settings import Settings
-from rushroad.proxy.client_connection import ClientListener
+from rushroad.proxy.client_listener import ClientListener
 from rushroad.proxy.counter_client import CounterClient
 from rushroad.proxy.discovery import Discovery
 from rushroad.proxy.upstream import Upstream
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -11,7 +11,8 @@
 
 from rushroad.policy.events import Endpoint, EndpointState, Result
 from rushroad.policy.settings import Limits
-from rushroad.proxy.engine import Attempt, Engine
+from rushroad.proxy.engine import Engine
+from rushroad.proxy.in_flight import Attempt
 from rushroad.proxy.upstream import Ages, Upstream
 from tests.support.gateway_driver import IDEMPOTENT, NOT_IDEMPOTENT, SETTINGS
 from tests.support.loopback import LOCAL, Heard, Late, Peer, resp, run
@@ -27,10 +28,10 @@
     def __init__(self, size: int = 10, class_index: int = IDEMPOTENT) -> None:
         self.size, self.class_index = size, class_index
 
-    def has_left(self) -> bool:
+    def poll_disconnect(self) -> bool:
         return False
 
-    def command(self, wait: int) -> bytes:
+    def forwarded_command(self, time_remaining: int) -> bytes:
         return resp(b"CALL.GET", b"x" * self.size)
 
 
