--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -74,12 +74,8 @@
     )
     engine.backend = upstream
     counter = _connect_counter(configuration, engine, loop)
-    listener = ClientListener(
-        engine,
-        CommandSchema.from_settings(settings, proxy_settings),
-        configuration.max_client_connections,
-        loop,
-    )
+    schema = CommandSchema.from_settings(settings, proxy_settings)
+    listener = ClientListener(engine, schema, configuration.max_client_connections, loop)
 
     apply_update = _update_handler(engine, upstream, loop)
     version = await retry_transient(lambda: read_cached_endpoints(proxy_settings, memory_limit, apply_update))
--- a/tests/integration/test_unavailable_peers.py
+++ b/tests/integration/test_unavailable_peers.py
@@ -53,13 +53,13 @@
     # They connect while the watch and the counter are down, faster than the process can close any.
     with contextlib.ExitStack() as stack:
         discovery, elsewhere, counter, server = (stack.enter_context(listen()) for _ in range(4))
-        listen = free_port()
-        text = configuration(port_of(discovery), port_of(counter), listen)
+        gateway_port = free_port()
+        text = configuration(port_of(discovery), port_of(counter), gateway_port)
         text["limits"]["sockets"] = MAX_SOCKETS
         process = stack.enter_context(
             running_gateway(tmp_path, json.dumps(text), f"ulimit -n {MAX_SOCKETS}; {RUN_COMMAND}")
         )
-        watch, first = accept(discovery, process), connect(listen, process)
+        watch, first = accept(discovery, process), connect(gateway_port, process)
         first.sendall(PING)
         assert first.recv(64) == PONG
         counter_connections = [accept(counter, process) for _ in range(2)]
@@ -72,7 +72,7 @@
             )
             process.send_signal(signal.SIGHUP)
         for _ in range(IDLE_CLIENTS):
-            stack.enter_context(socket.create_connection((GATEWAY_HOST, listen))).sendall(PING)
+            stack.enter_context(socket.create_connection((GATEWAY_HOST, gateway_port))).sendall(PING)
         process.send_signal(signal.SIGCONT)
 
         for _ in range(2):
@@ -80,7 +80,7 @@
         watch = stack.enter_context(accept(elsewhere if moved else discovery, process))
         assert watch.recv(4096).startswith(b"GET /v1/servers?watch=1&from=41 ")
         send_snapshot(watch, port_of(server))
-        client = stack.enter_context(connect(listen, process))
+        client = stack.enter_context(connect(gateway_port, process))
         numbers, last = itertools.count(1), time.monotonic() + PROCESS_TIMEOUT
         while not select.select([server], [], [], 0)[0]:  # until the snapshot is known
             client.sendall(call(next(numbers), b"c=lookup,t=basic,d=900,units=1,spread=1,first=0"))
@@ -99,12 +99,12 @@
         peers = {how: stack.enter_context(listen()) for how in ("silent", "full", "odd")}
         fill_backlog(peers["full"], stack)
         ports = {how: port_of(peer) for how, peer in peers.items()} | {"none": 1}
-        listen = free_port()
-        text = json.dumps(configuration(ports[agent], ports[counter], listen), indent="\t")
+        gateway_port = free_port()
+        text = json.dumps(configuration(ports[agent], ports[counter], gateway_port), indent="\t")
         process = stack.enter_context(running_gateway(tmp_path, "\r\n " + text))
         if agent == "odd":
             accept(peers["odd"], process).sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}")
-        client = stack.enter_context(connect(listen, process))
+        client = stack.enter_context(connect(gateway_port, process))
         client.sendall(PING)
         assert client.recv(64) == PONG
         process.send_signal(signal.SIGTERM)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -123,9 +123,6 @@
             call.fail()
 
 
-Heard = RecordingEngine  # the name that other test files use
-
-
 class DelayedConnectLoop:
     """An event loop that delays connects until `go_on` is set; a cancelled one still comes up later."""
 
