--- a/rushroad/bench/simulated/module_cost.py
+++ b/rushroad/bench/simulated/module_cost.py
@@ -10,6 +10,7 @@
 from typing import NamedTuple
 
 import msgspec
+from msgspec import structs
 
 from rushroad.bench.fleet_size import FleetSize
 from rushroad.bench.report import Run, fit_row
@@ -121,9 +122,9 @@
     endpoints = list(fleet.initial_endpoints.values())[:CHANGED_ENDPOINTS]
     began_ns = gateway.policy_time_ns
     for endpoint in endpoints:
-        gateway.notify([replace(endpoint, started_at=now)])
+        gateway.notify([structs.replace(endpoint, started_at=now)])
     alone_ns = gateway.policy_time_ns - began_ns
-    gateway.notify([replace(endpoint, started_at=now + 1) for endpoint in endpoints])
+    gateway.notify([structs.replace(endpoint, started_at=now + 1) for endpoint in endpoints])
     together_ns = gateway.policy_time_ns - began_ns - alone_ns
     return _ChangeCost(alone_ns / 1e3 / len(endpoints), together_ns / 1e3 / len(endpoints))
 
--- a/rushroad/bench/simulated/policy_internals.py
+++ b/rushroad/bench/simulated/policy_internals.py
@@ -1,20 +1,27 @@
-"""The one place that uses the policy's private names, to observe what its public interface does not show."""
+"""Observes in the policy what its public interface does not show: the one place that does."""
 
 from __future__ import annotations
 
-from rushroad.policy.gateway import Gateway, _Server
+from rushroad.policy.active_endpoints import ActiveEndpoint
+from rushroad.policy.gateway import Gateway
+from rushroad.policy.settings import Settings
 
 
 class CountingGateway(Gateway):
     """Counts the endpoints whose expected wait it computes: those that the choice of an endpoint examines."""
 
-    examined = 0
+    def __init__(self, settings: Settings, seed: int, now: int) -> None:
+        super().__init__(settings, seed, now)
+        self.examined = 0
+        expected_wait = self.load_balancer.expected_wait
 
-    def _wait(self, server: _Server) -> float:
-        self.examined += 1
-        return super()._wait(server)
+        def counted(endpoint: ActiveEndpoint, now: int) -> float:
+            self.examined += 1
+            return expected_wait(endpoint, now)
+
+        self.load_balancer.expected_wait = counted  # type: ignore[method-assign]
 
 
 def ready_endpoints(gateway: Gateway) -> set[str]:
     """The names of the ready endpoints in a gateway's subset."""
-    return {server.line.name for server in gateway._ready}
+    return {endpoint.entry.name for endpoint in gateway.endpoints.ready}
--- a/rushroad/bench/simulated/subsets.py
+++ b/rushroad/bench/simulated/subsets.py
@@ -13,7 +13,7 @@
 
 def gateways_per_endpoint(size: FleetSize) -> float:
     """How many gateways share an endpoint in the mean."""
-    return subsetting.sharers(size.gateways, size.rate_servers)
+    return subsetting.mean_replicas(size.gateways, size.rate_servers)
 
 
 def gateways_of_endpoint(size: FleetSize) -> GatewaysOfEndpoint:
@@ -21,7 +21,7 @@
     replicas = gateways_per_endpoint(size)
     if replicas >= size.gateways:
         return lambda _name: range(size.gateways)
-    return lambda name: subsetting.holders(name, size.gateways, replicas)
+    return lambda name: subsetting.replicas_of(name, size.gateways, replicas)
 
 
 def subsets_of_fleet(gateways: int, endpoints: Sequence[str]) -> list[set[str]]:
