--- a/rushroad/bench/__init__.py
+++ b/rushroad/bench/__init__.py
@@ -1,1 +1,1 @@
-"""An emulator of what rushroad's gateways stand between, and the experiments that measure them at size."""
+"""Experiments that measure rushroad's gateways at the planned fleet size, real and simulated."""
--- a/rushroad/bench/real/commands.py
+++ b/rushroad/bench/real/commands.py
@@ -150,7 +150,7 @@
 
 @click.command("whole-list")
 @click.option("--servers", default=LIST_LENGTHS, show_default=True, help="Entries of the list, with commas.")
-@click.option("--fleet", default=4_900, show_default=True, help="Gateways, as the settings tell.")
+@click.option("--fleet", default=4_900, show_default=True, help="Gateways, in the settings.")
 @seed_option
 @out_option
 def whole_list_command(servers: str, fleet: int, seed: int, out: Path | None) -> None:
@@ -173,13 +173,13 @@
 
 @click.command("changes")
 @sizes_option(SIZES)
-@click.option("--burst", default=BURST, show_default=True, help="Entries gone in one message; half at most.")
+@click.option("--burst", default=BURST, show_default=True, help="Removed in one message; half at most.")
 @rate_option
 @work_option
 @seed_option
 @out_option
 def changes_command(sizes: str, burst: int, rate: float, work_ms: float, seed: int, out: Path | None) -> None:
-    """The longest stall, by PINGs, at one entry gone and at a burst; attempts to what was gone before."""
+    """The longest stall, by PINGs, at one endpoint removed and at a burst; attempts to those removed."""
     run = Run("changes", seed, {"sizes": sizes, "burst": burst, "rate": rate, "work_ms": work_ms})
     good = []
     for size in parse_sizes(sizes):
--- a/rushroad/bench/rows.py
+++ b/rushroad/bench/rows.py
@@ -30,7 +30,7 @@
 class ConditionRow(Row, frozen=True, kw_only=True):
     """A row that begins with what is varied between the rows of its run."""
 
-    fleet: int | UnsetType = UNSET  # gateways, as the settings tell
+    fleet: int | UnsetType = UNSET  # gateways, in the settings
     gateways: int | UnsetType = UNSET
     servers: int | UnsetType = UNSET
     source: str | UnsetType = UNSET  # of the endpoint list
--- a/rushroad/bench/simulated/module_cost.py
+++ b/rushroad/bench/simulated/module_cost.py
@@ -17,7 +17,7 @@
 from rushroad.bench.rows import Row
 from rushroad.bench.simulated.fleet import ZONES, Fleet
 from rushroad.bench.simulated.fleet_settings import FLEET_SETTINGS
-from rushroad.bench.simulated.policy_internals import CountingGateway
+from rushroad.bench.simulated.policy_observation import CountingGateway
 from rushroad.bench.simulated.rate_server import CELL_SIZE, endpoint_name
 from rushroad.bench.simulated.simulation import SECOND, START
 from rushroad.policy.actions import SetTimer
--- a/rushroad/bench/simulated/policy_internals.py
+++ b/rushroad/bench/simulated/policy_observation.py
@@ -1,4 +1,4 @@
-"""Observes in the policy what its public interface does not show: the one place that does."""
+"""What experiments and tests observe in the policy beside its actions; nothing else of the bench does so."""
 
 from __future__ import annotations
 
--- a/tests/bench/simulated/test_fleet.py
+++ b/tests/bench/simulated/test_fleet.py
@@ -4,7 +4,7 @@
 
 from rushroad.bench.fleet_size import parse_fleet_size
 from rushroad.bench.simulated.fleet import Fleet
-from rushroad.bench.simulated.policy_internals import ready_endpoints
+from rushroad.bench.simulated.policy_observation import ready_endpoints
 from rushroad.bench.simulated.simulation import SECOND, Tally
 from rushroad.bench.simulated.subsets import subsets_of_fleet
 
