--- a/rushroad/bench/simulated/module_cost.py
+++ b/rushroad/bench/simulated/module_cost.py
@@ -10,14 +10,13 @@
 from typing import NamedTuple
 
 import msgspec
-from msgspec import structs
 
 from rushroad.bench.fleet_size import FleetSize
 from rushroad.bench.report import Run, fit_row
 from rushroad.bench.rows import Row
 from rushroad.bench.simulated.fleet import ZONES, Fleet
 from rushroad.bench.simulated.fleet_settings import FLEET_SETTINGS
-from rushroad.bench.simulated.policy_observation import CountingGateway
+from rushroad.bench.simulated.policy_observer import CountingGateway
 from rushroad.bench.simulated.rate_server import CELL_SIZE, endpoint_name
 from rushroad.bench.simulated.simulation import SECOND, START
 from rushroad.policy.actions import SetTimer
@@ -122,9 +121,9 @@
     endpoints = list(fleet.initial_endpoints.values())[:CHANGED_ENDPOINTS]
     began_ns = gateway.policy_time_ns
     for endpoint in endpoints:
-        gateway.notify([structs.replace(endpoint, started_at=now)])
+        gateway.notify([msgspec.structs.replace(endpoint, started_at=now)])
     alone_ns = gateway.policy_time_ns - began_ns
-    gateway.notify([structs.replace(endpoint, started_at=now + 1) for endpoint in endpoints])
+    gateway.notify([msgspec.structs.replace(endpoint, started_at=now + 1) for endpoint in endpoints])
     together_ns = gateway.policy_time_ns - began_ns - alone_ns
     return _ChangeCost(alone_ns / 1e3 / len(endpoints), together_ns / 1e3 / len(endpoints))
 
--- a/rushroad/bench/simulated/policy_observation.py
+++ b/rushroad/bench/simulated/policy_observer.py
@@ -1,4 +1,4 @@
-"""What experiments and tests observe in the policy beside its actions; nothing else of the bench does so."""
+"""Observes a gateway's policy: the endpoints that it examines, and those that it forwards to."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
         self.examined = 0
         expected_wait = self.load_balancer.expected_wait
 
-        def counted(endpoint: ActiveEndpoint, now: int) -> float:
+        def count(endpoint: ActiveEndpoint, now: int) -> float:
             self.examined += 1
             return expected_wait(endpoint, now)
 
-        self.load_balancer.expected_wait = counted  # type: ignore[method-assign]
+        self.load_balancer.expected_wait = count  # type: ignore[method-assign]
 
 
 def ready_endpoints(gateway: Gateway) -> set[str]:
-    """The names of the ready endpoints in a gateway's subset."""
+    """Return the names of the ready endpoints that a gateway forwards to."""
     return {endpoint.entry.name for endpoint in gateway.endpoints.ready}
