--- a/rushroad/policy/concurrency_usage.py
+++ b/rushroad/policy/concurrency_usage.py
@@ -10,7 +10,7 @@
 
     def __init__(self, now: int) -> None:
         self.open_requests = 0  # with attempts in flight at this gateway
-        self.full_until = now  # until then no slot is free at any gateway, as the last total told
+        self.full_until = now  # until then no slot is free at any gateway, by the last total
 
     def opened(self) -> None:
         """Count a request whose first attempt is in flight."""
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -73,6 +73,7 @@
         self.latency = LatencyTracker(settings)
         self._create_quota_parts(settings, now)
         self._create_endpoint_parts(settings, now)
+        self._create_routing_parts(settings)
 
     def _create_quota_parts(self, settings: Settings, now: int) -> None:
         self.tenants = Tenants(settings, now)
@@ -99,6 +100,8 @@
         self.endpoints = ActiveEndpoints(
             settings, self._table, self.limiter, self.outliers, self.slow_start, self._random
         )
+
+    def _create_routing_parts(self, settings: Settings) -> None:
         self.retry_policy = RetryPolicy(settings)
         self.load_balancer = LoadBalancer(
             settings,
--- a/rushroad/policy/tenants.py
+++ b/rushroad/policy/tenants.py
@@ -15,7 +15,7 @@
 
 IDLE_TIME = 30 * SECOND  # microseconds after which a tenant without open requests is forgotten
 MIN_TENANTS = 64  # so many are kept however long they have been idle
-EVICTIONS_PER_REQUEST = 2  # tenants looked at, the longest idle first
+EVICTIONS_PER_REQUEST = 2  # tenants checked, the longest idle first
 WINDOW_OFFSET = 7919  # microseconds by which the windows of consecutive tenants are apart
 
 
@@ -50,14 +50,15 @@
         """Return the request's tenant with its state brought up to now; tenants long idle are forgotten."""
         tenant = self._tenants.get(request.tenant)
         if tenant is None:
-            tenant = self._tenants[request.tenant] = self._create(request.tenant, plan, now)
+            tenant = self._tenants[request.tenant] = self.create(request.tenant, plan, now)
         self._tenants.move_to_end(request.tenant)
         self._evict(tenant, now)
         tenant.usage.advance(plan, now)
         tenant.ceiling.refill(plan, max(1, request.entry_points), now)
         return tenant
 
-    def _create(self, tenant_id: int, plan: Plan, now: int) -> Tenant:
+    def create(self, tenant_id: int, plan: Plan, now: int) -> Tenant:
+        """Return the state of a tenant that is not known, without an entry in the table."""
         window = CounterWindow(window_length(plan), self._call_timeout, tenant_id * WINDOW_OFFSET, now)
         return Tenant(tenant_id, TenantUsage(plan, window, now), RateCeiling(self._started_at), now)
 
--- a/tests/policy/test_client_retries.py
+++ b/tests/policy/test_client_retries.py
@@ -12,7 +12,7 @@
 def test_client_retry_past_its_objective_takes_no_units_under_overload() -> None:
     driver = Driver(LARGE_FLEET, endpoint_count=40)
     overload_counter(driver)
-    # Half of the deadline is gone.
+    # Half of the deadline has passed.
     assert action_names(driver.request(tenant=1, time_remaining=1500 * MS)) == ["Reject"]
 
 
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -68,7 +68,7 @@
             driver.request(tenant=1000 * second + tenant)
             while driver.counter_calls:
                 reply_after(driver, 1.0)
-        driver.wait(900 * MS)  # nine tenths of the aim
+        driver.wait(900 * MS)  # nine tenths of the latency objective
         driver.finish_all()
         driver.wait(100 * MS)
         sent.append(action_names(driver.actions).count("StartAttempt") - before)
--- a/tests/policy/test_concurrency_quota.py
+++ b/tests/policy/test_concurrency_quota.py
@@ -56,7 +56,7 @@
     driver.disconnect(1)
     assert action_names(driver.counter_reply(1.0)) == [
         "CounterAdd"
-    ]  # while it waited: given back, and nothing is sent
+    ]  # the slot is returned, and nothing is forwarded
     driver.counter_reply(0.0)
     driver.request()
     driver.counter_reply(1.0)
--- a/tests/policy/test_counter_breaker.py
+++ b/tests/policy/test_counter_breaker.py
@@ -29,7 +29,7 @@
 
 def test_calls_that_fail_together_do_not_open_the_breaker() -> None:
     # Calls in one late queue or on one broken connection fail at once. While it is taken to be away, a
-    # request costs as much as all gateways that share the tenant, and most are rejected with room.
+    # request costs as much as all gateways that share the tenant, and most would be rejected needlessly.
     driver = Driver()
     driver.request(entry_points=4)
     assert action_names(driver.counter_reply(1.0)) == ["StartAttempt"]
@@ -66,7 +66,7 @@
 
 def test_call_share_falls_while_the_counter_is_overloaded_and_recovers() -> None:
     asked = 0
-    for seed in range(10):  # where the share is left by the crowd is chance
+    for seed in range(10):  # at which share the overload ends is chance
         driver = Driver(LARGE_FLEET, endpoint_count=40, seed=seed)
         overload_counter(driver)
         for tenant in range(2000, 2040):
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -39,7 +39,7 @@
 ) -> None:
     driver = Driver(replace(LARGE_FLEET_WITHOUT_COUNTER, fleet_size=gateways), endpoint_count=0)
     driver.update_endpoints(*ready_endpoints(endpoint_count), kind=UpdateKind.CACHED_SNAPSHOT)
-    driver.wait(1 * SECOND)  # a long list is looked at in parts
+    driver.wait(1 * SECOND)  # a long list is reviewed in parts
     seen: list[ActiveEndpoint] = []
     wait = driver.gateway.load_balancer.expected_wait
 
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -29,7 +29,7 @@
 def test_rejected_request_takes_its_units_off_the_counter() -> None:
     driver = Driver(endpoint_count=2)
     for n in range(8):
-        driver.request(tenant=n)  # all wait for their totals while there is room
+        driver.request(tenant=n)  # all wait for their totals while units are left
     while driver.counter_calls:
         driver.counter_reply(1.0)
     refused = action_names(driver.actions).count("Reject")
@@ -62,7 +62,7 @@
     assert "Reject" in action_names(driver.counter_reply(9.0))
     driver.wait(3 * SECOND)  # six units more
     driver.request()
-    driver.counter_reply(8.0)  # the answer to the add-back
+    driver.counter_reply(8.0)  # the reply to the units taken back
     assert action_names(driver.counter_reply(9.0)) == ["StartAttempt"]
 
 
@@ -75,16 +75,16 @@
 
 def test_use_is_carried_over_into_the_next_window() -> None:
     driver, totals = Driver(), CounterTotals()
-    passed = 0
+    admitted = 0
     for step in range(320):  # four times the quota for 40 s, over several windows
         driver.request()
         while driver.counter_calls:
-            passed_before = action_names(driver.actions).count("StartAttempt")
+            admitted_before = action_names(driver.actions).count("StartAttempt")
             driver.counter_reply(totals.add(driver.counter_calls[0], driver.now))
-            passed += action_names(driver.actions).count("StartAttempt") - passed_before
+            admitted += action_names(driver.actions).count("StartAttempt") - admitted_before
         driver.wait(125 * MS)
         driver.finish_all()
-        assert passed <= 8 + 2 * (step + 1) * 0.125 + 1
+        assert admitted <= 8 + 2 * (step + 1) * 0.125 + 1
     assert totals.started > 3
 
 
@@ -96,15 +96,15 @@
 
 def test_only_the_local_share_is_admitted_while_the_counter_is_away() -> None:
     driver = Driver()
-    passed = 0
+    admitted = 0
     for _ in range(80):  # 8 requests a second for 10 s; the quota is 8 + 2 a second, the share half of it
         driver.request(entry_points=2)
         while driver.counter_calls:
             driver.counter_reply(result=Result.CONNECT_FAILED)
         driver.wait(125 * MS)
         driver.finish_all()
-    passed = action_names(driver.actions).count("StartAttempt")
-    assert 8 <= passed <= 16
+    admitted = action_names(driver.actions).count("StartAttempt")
+    assert 8 <= admitted <= 16
 
 
 def test_flushed_counter_does_not_grant_the_burst_again() -> None:
@@ -113,12 +113,12 @@
         driver.request()
         assert action_names(driver.counter_reply(float(total))) == ["StartAttempt"]
         driver.finish_all()
-    passed = []
-    for total in range(1, 4):  # the count began anew, the memory stays
+    admitted = []
+    for total in range(1, 4):  # the counter started again, the gateway remembers
         driver.request()
         while driver.counter_calls:
-            passed += action_names(driver.counter_reply(float(total)))
-    assert passed.count("StartAttempt") == 1
+            admitted += action_names(driver.counter_reply(float(total)))
+    assert admitted.count("StartAttempt") == 1
 
 
 def test_slow_counter_is_not_awaited_past_the_clients_timeout() -> None:
@@ -153,15 +153,15 @@
     event = AttemptOutcome(
         attempt.request_id, 0, attempt.endpoint, Result.OK, 50 * MS, True, actual_units=3.0
     )
-    assert driver.handle(event) == []  # a call for each answer would crowd the counter
+    assert driver.handle(event) == []  # a call for each response would overload the counter
     (count,) = driver.request(units=2.0)
     assert isinstance(count, CounterAdd)
-    assert count.amount == 3.0  # what it takes itself, and one that the first took beyond its guess
+    assert count.amount == 3.0  # its own units, and one that the first took beyond its estimate
 
 
 def test_units_admitted_without_a_call_are_added_with_the_next_one() -> None:
     driver = Driver()
-    added, passed, largest = 0.0, 0, 0.0
+    added, admitted, largest = 0.0, 0, 0.0
     for share in (0.3, 0.3, 0.3, 0.3, 0.3, 1.0):  # the counter is overloaded, then not
         driver.gateway.counter_breaker.call_share = share
         actions = driver.request()
@@ -169,10 +169,10 @@
             added += driver.counter_calls[0].amount
             largest = max(largest, driver.counter_calls[0].amount)
             actions = driver.counter_reply(added)
-            assert added == passed + 1
-        passed += action_names(actions).count("StartAttempt")
+            assert added == admitted + 1
+        admitted += action_names(actions).count("StartAttempt")
         driver.finish_all()
-    assert (passed, added) == (6, 6.0)
+    assert (admitted, added) == (6, 6.0)
     assert largest > 1.0  # some did pass without one
 
 
@@ -214,7 +214,7 @@
 
 def test_uncounted_admission_is_estimated_for_others_by_earlier_totals() -> None:
     # Two gateways that each let a burst through between two totals are two bursts for the tenant.
-    passed = []
+    admitted = []
     for others in (0.0, 1.0):
         driver, totals = Driver(), CounterTotals()
         for _ in range(12):  # this gateway takes half of the quota, others nothing or the same
@@ -229,10 +229,10 @@
         for _ in range(12):
             driver.request(entry_points=2)
             driver.finish_all()
-        passed.append(action_names(driver.actions).count("StartAttempt") - before)
-    assert passed[0] > passed[1]
-    assert 3 <= passed[1] <= 5  # half of the burst of 8
-    assert passed[0] <= 8
+        admitted.append(action_names(driver.actions).count("StartAttempt") - before)
+    assert admitted[0] > admitted[1]
+    assert 3 <= admitted[1] <= 5  # half of the burst of 8
+    assert admitted[0] <= 8
 
 
 def test_total_replaces_the_estimate_of_others_use() -> None:
@@ -259,11 +259,11 @@
 
 
 def test_quota_near_its_limit_is_reserved_for_the_class_of_higher_weight() -> None:
-    # Those take more units each: while lookups pass one by one, they would never find room.
+    # Their requests take more units each: behind single lookups they would never fit.
     driver = Driver()
     driver.request(units=4.0, class_index=NOT_IDEMPOTENT)
     driver.counter_reply(12.0)  # others took 8 of 8
-    driver.counter_reply(8.0)  # the answer to the add-back
+    driver.counter_reply(8.0)  # the reply to the units taken back
     driver.wait(2 * SECOND)  # four units
     driver.gateway.counter_breaker.call_share = 0.9  # overloaded: it is rejected without a call
     assert action_names(driver.request(units=1.0)) == ["Reject"]
@@ -279,7 +279,7 @@
 
 
 def test_use_beyond_the_quota_is_not_carried_over() -> None:
-    # It takes nothing from the quota: a debt for it would last as long as the tenant asks for all of it.
+    # It takes nothing from the quota: else the use would stay high while the tenant asks for all of it.
     driver = Driver()
     driver.request(class_index=NOT_IDEMPOTENT)
     driver.counter_reply(20.0)
@@ -296,7 +296,7 @@
 
 
 def test_rejected_units_of_one_window_are_not_taken_back_in_the_next() -> None:
-    # The new count never held it: others would take it for room.
+    # The new counter never held it: others would take it for free units.
     driver = Driver()
     driver.request(units=2.0, class_index=NOT_IDEMPOTENT)
     driver.gateway.counter_breaker.call_share = 0.5  # it is taken back with the next call
@@ -349,7 +349,7 @@
 
 
 def test_no_call_is_made_without_a_counter_however_requests_end() -> None:
-    # Where the settings have none a count is a fault; the guess of one that was not sent would be taken back.
+    # Without a counter a call is a fault, as is taking an estimate back that was never made.
     for pooled in (3, 40):
         driver = Driver(
             replace(SETTINGS, counter=None, settles_units=True, fleet_size=pooled), endpoint_count=1
@@ -372,16 +372,16 @@
 def test_sampled_calls_stand_for_those_that_were_not_made() -> None:
     driver = Driver(LARGE_FLEET, endpoint_count=40)
     overload_counter(driver)
-    added, passed = 0.0, 0
+    added, admitted = 0.0, 0
     for tenant in range(2000, 2300):
         for action in driver.request(tenant=tenant):
             added += action.amount if isinstance(action, CounterAdd) else 0.0
-            passed += isinstance(action, StartAttempt)
+            admitted += isinstance(action, StartAttempt)
         while driver.counter_calls:
-            passed += reply_after(driver, 1.0, 45 * MS).count("StartAttempt")
+            admitted += reply_after(driver, 1.0, 45 * MS).count("StartAttempt")
         driver.finish_all()
         driver.wait(200 * MS)
-    assert 0.7 * passed < added < 1.3 * passed
+    assert 0.7 * admitted < added < 1.3 * admitted
 
 
 def test_tenant_over_its_quota_is_not_admitted_past_an_overloaded_counter() -> None:
--- a/tests/policy/test_rate_ceiling.py
+++ b/tests/policy/test_rate_ceiling.py
@@ -17,7 +17,7 @@
     for _ in range(40):  # 20 units is this gateway's third of the ceiling
         driver.request(plan=CEILING, entry_points=3)
         if driver.counter_calls:
-            driver.counter_reply(1.0)  # the driver raises RuleViolation where too much passes
+            driver.counter_reply(1.0)  # the driver raises RuleViolationError where too much passes
         driver.finish_all()
     assert action_names(driver.actions).count("StartAttempt") <= 20
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -67,7 +67,7 @@
             driver.wait(100 * MS)
             driver.finish_all()
             driver.wait(900 * MS)
-    # 200 answers a second from 10 endpoints: 20 a second each. One restarts and is told of at once.
+    # 200 answers a second from 10 endpoints: 20 a second each. One restarts and is notified at once.
     cold = 0
     for driver in gateways:
         driver.update_endpoints(ready_endpoint(1, started_at=driver.now))
--- /dev/null
+++ b/tests/policy/test_throughput.py
@@ -0,0 +1,32 @@
+"""Responses a second of a class of endpoints."""
+
+import pytest
+
+from rushroad.policy.throughput import ClassThroughput
+from tests.support.gateway_driver import MS, SECOND
+
+
+def test_rate_follows_even_responses() -> None:
+    throughput = ClassThroughput(0)
+    assert not throughput.is_known
+    for response in range(1, 601):  # 20 a second for 30 s
+        throughput.record_response(response * 50 * MS)
+    assert throughput.is_known
+    assert throughput.rate(30 * SECOND) == pytest.approx(20.0, rel=0.02)
+
+
+def test_rate_and_mean_of_warm_endpoints_fade_alike() -> None:
+    throughput = ClassThroughput(0)
+    throughput.set_warm(10, 0)
+    for response in range(1, 601):
+        throughput.record_response(response * 50 * MS)
+    throughput.set_warm(0, 30 * SECOND)  # all restart, and respond no more
+    before = throughput.rate(30 * SECOND) / throughput.mean_warm(30 * SECOND)
+    after = throughput.rate(33 * SECOND) / throughput.mean_warm(33 * SECOND)
+    assert after == pytest.approx(before)
+
+
+def test_first_count_of_warm_endpoints_holds_at_once() -> None:
+    throughput = ClassThroughput(0)
+    throughput.set_warm(8, 5 * SECOND)
+    assert throughput.mean_warm(5 * SECOND) == 8
--- a/tests/policy/test_timers.py
+++ b/tests/policy/test_timers.py
@@ -16,7 +16,7 @@
 
 
 def test_counter_timer_of_an_admitted_request_cancels_no_attempt() -> None:
-    # Where a tenth of the aim is shorter than the counter's time limit, a request sets a timer for its total.
+    # A request sets a timer for its total where it waits for less than the counter's timeout.
     # It rings when an attempt has just begun, and would end each one that is not answered by then.
     driver = Driver(settings=replace(SETTINGS, counter=CounterSettings(timeout=400 * MS)))
     for cls in (IDEMPOTENT, NOT_IDEMPOTENT):
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -26,7 +26,7 @@
     SafetyLimits,
     Settings,
 )
-from tests.support.rule_checker import RuleChecker, RuleViolation, TrackedRequest
+from tests.support.rule_checker import RuleChecker, RuleViolationError, TrackedRequest
 
 MS = 1_000
 SECOND = 1_000_000
@@ -242,10 +242,10 @@
                 self.rules.check_answer(action, action.request_id)
             case CancelAttempt():
                 if action.attempt not in self.requests[action.request_id].attempts:
-                    raise RuleViolation("cancelled an attempt that was never made")
+                    raise RuleViolationError("cancelled an attempt that was never made")
             case SetTimer():
                 if action.delay < 0:
-                    raise RuleViolation("a timer in the past")
+                    raise RuleViolationError("a timer in the past")
                 self.timers.append((self.now + max(action.delay, self.settings.tick), action.token))
             case CounterAdd():
                 self.counter_calls.append(action)
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -12,7 +12,7 @@
 ROUNDING = 1e-6  # units
 
 
-class RuleViolation(AssertionError):
+class RuleViolationError(AssertionError):
     """An action breaks one of the rules."""
 
 
@@ -38,7 +38,7 @@
 
 
 class RuleChecker:
-    """Follows requests and the endpoint list, and raises RuleViolation where an action breaks a rule."""
+    """Follows requests and the endpoint list, and raises RuleViolationError where an action breaks a rule."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -64,13 +64,13 @@
         """Raise where a request is past its deadline without an answer."""
         for tracked in self.requests.values():
             if not tracked.is_answered and now > tracked.deadline + self.settings.safety.answer_slack:
-                raise RuleViolation(f"request {tracked.request.id} got no answer in time")
+                raise RuleViolationError(f"request {tracked.request.id} got no answer in time")
 
     def check_answer(self, answer: object, request_id: int) -> None:
         """Check a final answer: the only one, and a rejection only where a retry does no harm."""
         tracked = self.requests[request_id]
         if tracked.is_answered:
-            raise RuleViolation(f"request {request_id} answered twice")
+            raise RuleViolationError(f"request {request_id} answered twice")
         tracked.is_answered = True
         if not isinstance(answer, Reject) or not (tracked.possible_executions or tracked.in_flight):
             return
@@ -78,7 +78,7 @@
         is_keyed = request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
         is_scoped = request_class.deduplication_scope is not DeduplicationScope.ALL
         if request_class.idempotency is Idempotency.NOT_IDEMPOTENT or (is_keyed and is_scoped):
-            raise RuleViolation("rejected a request that may have been executed")
+            raise RuleViolationError("rejected a request that may have been executed")
 
     def _class_of(self, tracked: TrackedRequest) -> RequestClass:
         return self.settings.request_classes[tracked.request.class_index]
@@ -87,14 +87,14 @@
         """Check a new attempt, and follow it."""
         tracked, limits = self.requests[action.request_id], self.settings.limits
         if tracked.is_answered:
-            raise RuleViolation(f"request {action.request_id} forwarded after its final answer")
+            raise RuleViolationError(f"request {action.request_id} forwarded after its final answer")
         if tracked.in_flight and not limits.hedging_allowed:
-            raise RuleViolation("two attempts in flight at once")
+            raise RuleViolationError("two attempts in flight at once")
         if len(tracked.attempts) >= limits.max_attempts:
-            raise RuleViolation("too many attempts")
+            raise RuleViolationError("too many attempts")
         unavailable_since = self.unavailable_since.get(action.endpoint, now)
         if now > unavailable_since + self.settings.safety.drain_grace:
-            raise RuleViolation(f"{action.endpoint} drains or was removed")
+            raise RuleViolationError(f"{action.endpoint} drains or was removed")
         self._check_possible_executions(tracked, action, now)
         if not tracked.attempts:
             self._check_ceiling(tracked.request, now)
@@ -108,14 +108,14 @@
         in_flight = [tracked.attempts[number] for number in sorted(tracked.in_flight)]
         for attempt in tracked.possible_executions + in_flight:
             if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
-                raise RuleViolation("a request that may have been executed was forwarded again")
+                raise RuleViolationError("a request that may have been executed was forwarded again")
             if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
                 continue
             endpoint, earlier = self.endpoints[action.endpoint], self.endpoints[attempt.endpoint]
             if not self._share_keys(request_class.deduplication_scope, endpoint, earlier):
-                raise RuleViolation("a keyed request left its deduplication scope")
+                raise RuleViolationError("a keyed request left its deduplication scope")
             if now - attempt.started_at > request_class.deduplication_window:
-                raise RuleViolation("a keyed request was forwarded after its deduplication window")
+                raise RuleViolationError("a keyed request was forwarded after its deduplication window")
 
     @staticmethod
     def _share_keys(scope: DeduplicationScope, endpoint: Endpoint, earlier: Endpoint) -> bool:
@@ -135,5 +135,5 @@
         refilled = plan.ceiling_rate / request.entry_points * (now - updated_at) / SECOND
         units = min(burst, units + refilled) - request.units
         if units < -ROUNDING:
-            raise RuleViolation("over this gateway's part of the ceiling")
+            raise RuleViolationError("over this gateway's part of the ceiling")
         self._ceilings[request.tenant] = (units, now)
