--- a/rushroad/bench/commands.py
+++ b/rushroad/bench/commands.py
@@ -128,6 +128,7 @@
 StandInCommand: TypeAlias = (
     StartStandIns | RemoveEndpoints | RollEndpoints | SilenceDiscovery | SetCounterMode | GetFigures
 )
+STAND_IN_DECODER: msgspec.json.Decoder[StandInCommand] = msgspec.json.Decoder(StandInCommand)
 
 
 # --- to the clients -------------------------------------------------------------------------------------
@@ -194,3 +195,4 @@
 
 
 ClientCommand: TypeAlias = StartLoad | StartPings | TakeLongestPing
+CLIENT_DECODER: msgspec.json.Decoder[ClientCommand] = msgspec.json.Decoder(ClientCommand)
--- a/rushroad/bench/load.py
+++ b/rushroad/bench/load.py
@@ -20,7 +20,7 @@
 
 from rushroad.bench.client_connections import ClientRequest, ConnectionPool
 from rushroad.bench.commands import (
-    ClientCommand,
+    CLIENT_DECODER,
     Done,
     LoadResult,
     Outcome,
@@ -120,7 +120,7 @@
     """Carry out commands until the input ends; the reply to StartLoad comes at the load's end."""
     pings: Pings | None = None
     loop = asyncio.get_running_loop()
-    async for command, respond in serve_commands(ClientCommand):
+    async for command, respond in serve_commands(CLIENT_DECODER):
         match command:
             case StartLoad():
                 Load(command, respond)
--- a/rushroad/bench/real/commands.py
+++ b/rushroad/bench/real/commands.py
@@ -12,7 +12,7 @@
 from rushroad.bench.fleet_size import FleetSize, parse_fleet_size
 from rushroad.bench.options import out_option, parse_numbers, parse_sizes, seed_option, sizes_option
 from rushroad.bench.real.measurements import measure_changes, measure_cost, measure_start
-from rushroad.bench.real.rows import ChangesRow, CostRow, CounterBytesRow, DemoRow
+from rushroad.bench.real.rows import CostRow, CounterBytesRow, DemoRow
 from rushroad.bench.real.runs import Case, add_fits, add_measured, finish, measure_costs
 from rushroad.bench.real.scene import PEAK_REQUEST_RATE, Scene
 from rushroad.bench.report import Run
@@ -53,8 +53,8 @@
     scene = Scene(fleet_size, fleet_size.gateways, rate, seconds, work_ms=work_ms, seed=seed)
     run = Run("demo", seed, scene.parameters())
     condition = ConditionRow(gateways=fleet_size.gateways, servers=fleet_size.rate_servers)
-    measured = add_measured(run, condition, lambda: _demo_row(measure_cost(scene, condition)))
-    finish(run, out, measured)
+    add_measured(run, condition, lambda: _demo_row(measure_cost(scene, condition)))
+    finish(run, out)
 
 
 def _demo_row(cost: CostRow) -> DemoRow:
@@ -89,9 +89,9 @@
         )
         for size in parse_sizes(sizes)
     ]
-    run, measured = measure_costs("cost-by-servers", cases, seed)
+    run = measure_costs("cost-by-servers", cases, seed)
     add_fits(run, "servers", ("cpu_us_request", "added_p50_ms", "idle_core_share", "peak_mb"))
-    finish(run, out, measured)
+    finish(run, out)
 
 
 @click.command("cost-by-rate")
@@ -111,9 +111,9 @@
     cases = [
         Case(ConditionRow(rate=rate), replace(scene, request_rate=rate)) for rate in parse_numbers(rates)
     ]
-    run, measured = measure_costs("cost-by-rate", cases, seed)
+    run = measure_costs("cost-by-rate", cases, seed)
     add_fits(run, "rate", ("core_share", "added_p50_ms"))
-    finish(run, out, measured)
+    finish(run, out)
 
 
 @click.command("cost-by-tenants")
@@ -143,9 +143,9 @@
     scene = Scene(fleet_size, gateways, rate, seconds, work_ms=work_ms, seed=seed)
     numbers = [int(number) for number in parse_numbers(tenants)]
     cases = [Case(ConditionRow(tenants=number), replace(scene, tenants=number)) for number in numbers]
-    run, measured = measure_costs("cost-by-tenants", cases, seed)
+    run = measure_costs("cost-by-tenants", cases, seed)
     add_fits(run, "tenants_seen", ("cpu_us_request", "peak_mb"))
-    finish(run, out, measured)
+    finish(run, out)
 
 
 @click.command("whole-list")
@@ -156,7 +156,6 @@
 def whole_list_command(servers: str, fleet: int, seed: int, out: Path | None) -> None:
     """From the start to the first PONG and the first request served, by the list; and peak memory."""
     run = Run("whole-list", seed, {"servers": servers, "fleet": fleet})
-    measured = []
     for count in parse_numbers(servers):
         from_discovery = Scene(
             parse_fleet_size(f"{fleet}/{int(count)}"), list_configured=False, work_ms=0.0, seed=seed
@@ -167,8 +166,8 @@
             ("indented", replace(from_discovery, list_indent=1)),
         ):
             condition = ConditionRow(servers=int(count), source=source)
-            measured.append(add_measured(run, condition, partial(measure_start, scene, condition)))
-    finish(run, out, all(measured))
+            add_measured(run, condition, partial(measure_start, scene, condition))
+    finish(run, out)
 
 
 @click.command("changes")
@@ -181,12 +180,10 @@
 def changes_command(sizes: str, burst: int, rate: float, work_ms: float, seed: int, out: Path | None) -> None:
     """The longest stall, by PINGs, at one endpoint removed and at a burst; attempts to those removed."""
     run = Run("changes", seed, {"sizes": sizes, "burst": burst, "rate": rate, "work_ms": work_ms})
-    good = []
     for size in parse_sizes(sizes):
         scene, condition = Scene(size, request_rate=rate, work_ms=work_ms, seed=seed), _fleet_condition(size)
-        good.append(add_measured(run, condition, partial(measure_changes, scene, burst, condition)))
-    good += [not row.late_attempts for row in run.rows if isinstance(row, ChangesRow)]
-    finish(run, out, all(good))
+        add_measured(run, condition, partial(measure_changes, scene, burst, condition))
+    finish(run, out)
 
 
 @click.command("counter-bytes")
@@ -201,9 +198,9 @@
         Case(_fleet_condition(size), Scene(size, request_rate=rate, seconds=seconds, seed=seed))
         for size in parse_sizes(sizes)
     ]
-    run, measured = measure_costs("counter-bytes", cases, seed)
+    run = measure_costs("counter-bytes", cases, seed)
     run.rows = [_counter_bytes_row(row) for row in run.rows]
-    finish(run, out, measured)
+    finish(run, out)
 
 
 def _counter_bytes_row(row: Row) -> Row:
--- a/rushroad/bench/real/gateway_processes.py
+++ b/rushroad/bench/real/gateway_processes.py
@@ -36,29 +36,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
-    """What the gateways of a fleet are given: addresses, and the endpoint list in their configuration."""
+class FleetConfiguration:
+    """What the configurations of a fleet's gateways share."""
 
     discovery: str
     counter: str
-    known_endpoints: Mapping[str, Any]
+    known_endpoints: Mapping[str, Any]  # the endpoint list, by the published names of its fields
     folder: Path  # for configurations and logs
 
 
 class RealGateway:
     """One gateway's process."""
 
-    def __init__(self, index: int, fleet_size: int, surroundings: Surroundings) -> None:
+    def __init__(self, index: int, fleet_size: int, fleet_configuration: FleetConfiguration) -> None:
         host = f"{ADDRESS_PREFIX}{index + 1}"
         with socket.create_server((host, 0)) as listener:
             self.address = f"{host}:{listener.getsockname()[1]}"
         self.index = index
-        configuration = self._write_configuration(fleet_size, surroundings)
-        self._log = (surroundings.folder / f"n{index}.log").open("w+b")
+        configuration = self._write_configuration(fleet_size, fleet_configuration)
+        self._log = (fleet_configuration.folder / f"n{index}.log").open("w+b")
         environment = {
             "EDGE_NAME": f"n{index}",
             "EDGE_LISTEN": self.address,
-            "EDGE_DISCOVERY": surroundings.discovery,
+            "EDGE_DISCOVERY": fleet_configuration.discovery,
             "EDGE_CONFIG": str(configuration),
         }
         self.started_at = time.monotonic()
@@ -76,18 +76,18 @@
             raise RuntimeError(f"gateway {index} has no processor clock")
         self._cpu_clock = clock.value
 
-    def _write_configuration(self, fleet_size: int, surroundings: Surroundings) -> Path:
+    def _write_configuration(self, fleet_size: int, fleet_configuration: FleetConfiguration) -> Path:
         configuration = {
             "name": f"n{self.index}",
             "listen": self.address,
-            "discovery": surroundings.discovery,
-            "counter": surroundings.counter,
+            "discovery": fleet_configuration.discovery,
+            "counter": fleet_configuration.counter,
             "seed": f"{self.index + 1:016x}",
-            "known": surroundings.known_endpoints,
+            "known": fleet_configuration.known_endpoints,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1_024},
             "settings": gateway_settings(fleet_size, self.index),
         }
-        file = surroundings.folder / f"n{self.index}.json"
+        file = fleet_configuration.folder / f"n{self.index}.json"
         file.write_text(json.dumps(configuration))
         return file
 
@@ -159,19 +159,19 @@
 class RealFleet:
     """The first gateways of a fleet as real processes; all have ended when the block is left."""
 
-    def __init__(self, count: int, fleet_size: int, surroundings: Surroundings) -> None:
+    def __init__(self, count: int, fleet_size: int, fleet_configuration: FleetConfiguration) -> None:
         """`count` of `fleet_size` gateways; raises RunLimitExceededError where there can't be so many."""
         if not 1 <= count <= min(MAX_GATEWAYS, fleet_size):
             raise RunLimitExceededError(
                 f"{count} real gateways of {fleet_size}: at most {MAX_GATEWAYS}, and the fleet"
             )
-        self._count, self._fleet_size, self._surroundings = count, fleet_size, surroundings
+        self._count, self._fleet_size, self._fleet_configuration = count, fleet_size, fleet_configuration
         self.gateways: list[RealGateway] = []
 
     def __enter__(self) -> RealFleet:
         try:
             for index in range(self._count):
-                self.gateways.append(RealGateway(index, self._fleet_size, self._surroundings))
+                self.gateways.append(RealGateway(index, self._fleet_size, self._fleet_configuration))
         except BaseException:
             self._end()
             raise
--- a/rushroad/bench/real/runs.py
+++ b/rushroad/bench/real/runs.py
@@ -12,6 +12,7 @@
 
 from rushroad.bench.options import append_to
 from rushroad.bench.real.measurements import measure_cost
+from rushroad.bench.real.rows import ChangesRow
 from rushroad.bench.real.scene import Scene, log
 from rushroad.bench.report import Run, fit_row
 from rushroad.bench.rows import ConditionRow, ErrorRow, Row
@@ -27,26 +28,24 @@
     scene: Scene
 
 
-def add_measured(run: Run, condition: ConditionRow, measure: Callable[[], Row]) -> bool:
-    """Add a measured row, or an error row where it could not be measured; returns whether it was."""
+def add_measured(run: Run, condition: ConditionRow, measure: Callable[[], Row]) -> None:
+    """Add a measured row, or an error row where it could not be measured."""
     try:
         run.add(measure())
     except (RuntimeError, OSError) as error:
         log.error("not measured", error=str(error), **condition.columns())
         message = str(error)[:MAX_ERROR_CHARACTERS]
         run.add(ErrorRow(**structs.asdict(condition), error=message))
-        return False
+        return
     log.info("measured", **run.rows[-1].columns())
-    return True
 
 
-def measure_costs(experiment: str, cases: Sequence[Case], seed: int) -> tuple[Run, bool]:
-    """A run with one row a case, and whether all of them were measured."""
+def measure_costs(experiment: str, cases: Sequence[Case], seed: int) -> Run:
+    """A run with one row a case."""
     run = Run(experiment, seed, cases[0].scene.parameters())
-    measured = [
-        add_measured(run, case.condition, partial(measure_cost, case.scene, case.condition)) for case in cases
-    ]
-    return run, all(measured)
+    for case in cases:
+        add_measured(run, case.condition, partial(measure_cost, case.scene, case.condition))
+    return run
 
 
 def add_fits(run: Run, x: str, ys: Iterable[str]) -> None:
@@ -61,11 +60,16 @@
             run.add(fit_row(f"{y} by {x}", points))
 
 
-def finish(run: Run, out: Path | None, all_measured: bool) -> None:
-    """Print the table, and the record behind it or to the file; exit with 1 where a row is missing."""
+def finish(run: Run, out: Path | None) -> None:
+    """Print the table, and the record behind it or to the file; exit with 1 where a row has failed."""
     if out is None:
         run.finish(sys.stdout)
     else:
         append_to(run, out)
-    if not all_measured:
+    if any(map(_has_failed, run.rows)):
         raise SystemExit(1)
+
+
+def _has_failed(row: Row) -> bool:
+    """True for a row that was not measured, and for attempts to endpoints that were removed before."""
+    return isinstance(row, ErrorRow) or (isinstance(row, ChangesRow) and row.late_attempts > 0)
--- a/rushroad/bench/real/scene.py
+++ b/rushroad/bench/real/scene.py
@@ -14,7 +14,7 @@
 
 from rushroad.bench.commands import GetFigures, StandInAddresses, StandInFigures, StartLoad, StartStandIns
 from rushroad.bench.fleet_size import FleetSize
-from rushroad.bench.real.gateway_processes import RealFleet, Surroundings
+from rushroad.bench.real.gateway_processes import FleetConfiguration, RealFleet
 from rushroad.bench.real.gateway_settings import PLAN, REQUEST_CLASS
 from rushroad.bench.real.run_limits import sigterm_as_exit, time_limit
 from rushroad.bench.stand_ins.discovery_entries import list_entry
@@ -116,10 +116,10 @@
             seed=scene.seed,
         )
         addresses = stand_ins.call(command, StandInAddresses)
-        surroundings = Surroundings(
+        fleet_configuration = FleetConfiguration(
             addresses.discovery, addresses.counter, _known_endpoints(scene, addresses), Path(folder)
         )
-        with RealFleet(scene.gateways, scene.size.gateways, surroundings) as fleet:
+        with RealFleet(scene.gateways, scene.size.gateways, fleet_configuration) as fleet:
             yield RunningScene(scene, stand_ins, clients, fleet)
 
 
--- a/rushroad/bench/simulated/fleet.py
+++ b/rushroad/bench/simulated/fleet.py
@@ -19,7 +19,7 @@
 from rushroad.bench.simulated.clients import SimulatedClients
 from rushroad.bench.simulated.counter import SimulatedCounter
 from rushroad.bench.simulated.fleet_settings import FLEET_SETTINGS
-from rushroad.bench.simulated.gateway import SimulatedGateway, Surroundings
+from rushroad.bench.simulated.gateway import Environment, SimulatedGateway
 from rushroad.bench.simulated.rate_server import SimulatedRateServer
 from rushroad.bench.simulated.simulation import MILLISECOND, SECOND, Simulation, Tally
 from rushroad.bench.simulated.subsets import GatewaysOfEndpoint
@@ -52,9 +52,9 @@
         self.rate_servers = {server.name: server for server in servers}
         self.initial_endpoints = {server.name: server.endpoint() for server in servers}
         self.counter = SimulatedCounter(self.simulation)
-        surroundings = Surroundings(self.simulation, self.rate_servers, self.counter, self.initial_endpoints)
+        environment = Environment(self.simulation, self.rate_servers, self.counter, self.initial_endpoints)
         self.gateways = {
-            index: SimulatedGateway(surroundings, index, size.gateways, policy_class)
+            index: SimulatedGateway(environment, index, size.gateways, policy_class)
             for index in (range(size.gateways) if sample is None else sample)
         }
         self.background = BackgroundLoad(self.simulation, size, self.gateways.keys())
--- a/rushroad/bench/simulated/gateway.py
+++ b/rushroad/bench/simulated/gateway.py
@@ -33,7 +33,7 @@
     number: int
 
 
-class Surroundings(NamedTuple):
+class Environment(NamedTuple):
     """What all gateways of a fleet are connected to."""
 
     simulation: Simulation
@@ -46,9 +46,9 @@
     """One gateway of a fleet; its policy decides, and this class carries its actions out."""
 
     def __init__(
-        self, surroundings: Surroundings, index: int, fleet_size: int, policy_class: type[Gateway]
+        self, environment: Environment, index: int, fleet_size: int, policy_class: type[Gateway]
     ) -> None:
-        self._simulation, self._rate_servers, self._counter, self._initial_endpoints = surroundings
+        self._simulation, self._rate_servers, self._counter, self._initial_endpoints = environment
         self.index, self._policy_class = index, policy_class
         self.settings = replace(self._simulation.settings, fleet_size=fleet_size, gateway_index=index)
         self.policy_time_ns = 0  # processor time in the policy, over all incarnations
--- a/rushroad/bench/simulated/spread.py
+++ b/rushroad/bench/simulated/spread.py
@@ -52,7 +52,7 @@
 def _spread_row(size: FleetSize) -> SpreadRow:
     names = endpoint_names(size.rate_servers + 1)
     subsets = subsets_of_fleet(size.gateways, names[:-1])
-    shared, loads = _gateways_and_load_by_endpoint(subsets, names[:-1])
+    sharing = _sharing(subsets, names[:-1])
     lengths = [len(subset) for subset in subsets]
     mean_load = size.gateways / size.rate_servers  # each gateway hands out one
     joined = _changes(subsets, subsets_of_fleet(size.gateways, names))
@@ -61,14 +61,14 @@
     return SpreadRow(
         gateways=size.gateways,
         servers=size.rate_servers,
-        gateways_a_server_min=min(shared),
-        gateways_a_server_mean=fmean(shared),
-        gateways_a_server_max=max(shared),
+        gateways_a_server_min=min(sharing.gateways),
+        gateways_a_server_mean=fmean(sharing.gateways),
+        gateways_a_server_max=max(sharing.gateways),
         servers_a_gateway_min=min(lengths),
         servers_a_gateway_mean=fmean(lengths),
         servers_a_gateway_max=max(lengths),
-        min_load=min(loads) / mean_load,
-        max_load=max(loads) / mean_load,
+        min_load=min(sharing.loads) / mean_load,
+        max_load=max(sharing.loads) / mean_load,
         join_subsets=joined.subsets,
         max_join_changes=joined.max_endpoints,
         leave_subsets=left.subsets,
@@ -79,17 +79,19 @@
     )
 
 
-def _gateways_and_load_by_endpoint(
-    subsets: Sequence[set[str]], names: Sequence[str]
-) -> tuple[list[int], list[float]]:
-    """How many gateways have each endpoint, and its load where each gateway spreads a load of 1 evenly."""
-    gateways, loads = [0] * len(names), [0.0] * len(names)
+class _Sharing(NamedTuple):
+    gateways: list[int]  # that have an endpoint in their subset, by the endpoint's number
+    loads: list[float]  # of an endpoint, where each gateway spreads a load of 1 evenly
+
+
+def _sharing(subsets: Sequence[set[str]], names: Sequence[str]) -> _Sharing:
+    sharing = _Sharing([0] * len(names), [0.0] * len(names))
     numbers = {name: number for number, name in enumerate(names)}
     for subset in subsets:
         for name in subset:
-            gateways[numbers[name]] += 1
-            loads[numbers[name]] += 1.0 / len(subset)
-    return gateways, loads
+            sharing.gateways[numbers[name]] += 1
+            sharing.loads[numbers[name]] += 1.0 / len(subset)
+    return sharing
 
 
 class _Changes(NamedTuple):
--- a/rushroad/bench/stand_ins/__main__.py
+++ b/rushroad/bench/stand_ins/__main__.py
@@ -13,6 +13,7 @@
 import uvloop
 
 from rushroad.bench.commands import (
+    STAND_IN_DECODER,
     Done,
     GetFigures,
     RemovedEndpoints,
@@ -92,7 +93,7 @@
 async def serve() -> None:
     """Stand in until the input ends; raises ValueError where the first command is not StartStandIns."""
     stand_ins: StandIns | None = None
-    async for command, respond in serve_commands(StandInCommand):
+    async for command, respond in serve_commands(STAND_IN_DECODER):
         if stand_ins is not None:
             respond(stand_ins.carry_out(command))
         elif isinstance(command, StartStandIns):
--- a/rushroad/bench/worker.py
+++ b/rushroad/bench/worker.py
@@ -9,7 +9,7 @@
 from collections.abc import AsyncIterator, Callable
 from pathlib import Path
 from types import TracebackType
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import msgspec
 
@@ -19,16 +19,18 @@
 MAX_LINE_BYTES = 1 << 24
 END_TIMEOUT_S = 5.0  # for a process to end once its input has ended; then it is killed
 
+CommandT = TypeVar("CommandT", bound=Command)
 ReplyT = TypeVar("ReplyT", bound=Reply)
 Respond = Callable[[Reply], None]
 
 
-async def serve_commands(command_types: Any) -> AsyncIterator[tuple[Any, Respond]]:
+async def serve_commands(
+    decoder: msgspec.json.Decoder[CommandT],
+) -> AsyncIterator[tuple[CommandT, Respond]]:
     """Yield each command from standard input with the function that replies to it, until the input ends.
 
-    `command_types` is the union of the commands. Raises msgspec.DecodeError where a line is none of them.
+    Raises msgspec.DecodeError where a line is none of the decoder's commands.
     """
-    decoder = msgspec.json.Decoder(command_types)
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
--- a/tests/bench/real/test_run_limits.py
+++ b/tests/bench/real/test_run_limits.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from rushroad.bench.real.gateway_processes import RealFleet, Surroundings
+from rushroad.bench.real.gateway_processes import FleetConfiguration, RealFleet
 from rushroad.bench.real.run_limits import RunLimitExceededError, time_limit
 
 
 def test_more_gateways_than_may_run_are_an_error(tmp_path: Path) -> None:
     with pytest.raises(RunLimitExceededError):
-        RealFleet(191, 4_900, Surroundings("", "", {}, tmp_path))
+        RealFleet(191, 4_900, FleetConfiguration("", "", {}, tmp_path))
 
 
 def test_a_run_ends_at_its_time_limit_wherever_it_waits() -> None:
