--- a/tests/bench/real/test_runs.py
+++ b/tests/bench/real/test_runs.py
@@ -68,4 +68,5 @@
         run.add(structs.replace(changes_row, servers=servers, peak_mb=peak_mb, lost=lost))
     add_fits(run, "servers", ["peak_mb"])
     (line,) = rows_of(run, FitRow)
-    assert (line.fit, line.slope) == ("peak_mb by servers", pytest.approx(0.05))
+    assert line.fit == "peak_mb by servers"
+    assert line.slope == pytest.approx(0.05)
