--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -27,7 +27,12 @@
 from rushroad.proxy.garbage_collection import EndpointFreezer, freeze_startup_objects
 from rushroad.proxy.nonblocking_log import log
 from rushroad.proxy.shutdown import shut_down, termination_event
-from rushroad.proxy.transient_errors import AGAIN, START_RETRY_TIME, TRANSIENT_ERRORS, retry_transient
+from rushroad.proxy.transient_errors import (
+    RETRY_INTERVAL,
+    START_RETRY_TIME,
+    TRANSIENT_ERRORS,
+    retry_transient,
+)
 from rushroad.proxy.upstream import Upstream
 
 FIRST_UPDATE_TIMEOUT = 0.3  # seconds that a start waits for discovery before it uses the cached endpoint list
@@ -103,7 +108,7 @@
         except OSError as error:
             if error.errno not in TRANSIENT_ERRORS or time.monotonic() > retry_until:
                 raise
-        time.sleep(AGAIN)
+        time.sleep(RETRY_INTERVAL)
 
 
 def main() -> int:
--- a/rushroad/proxy/client_listener.py
+++ b/rushroad/proxy/client_listener.py
@@ -10,7 +10,7 @@
 from rushroad.proxy.client_connection import ClientConnection
 from rushroad.proxy.connection_table import ConnectionTable
 from rushroad.proxy.engine import Engine
-from rushroad.proxy.transient_errors import AGAIN, RESOURCES, look
+from rushroad.proxy.transient_errors import RESOURCE_ERRORS, RETRY_INTERVAL, poll_now
 
 BACKLOG = 1_024  # connections that the system keeps until they are accepted
 MAX_ACCEPTS_PER_TURN = 16  # each takes a descriptor before the connection that makes room for it is closed
@@ -59,7 +59,7 @@
                 self._deferred_since = None
                 return
             except OSError as error:
-                if error.errno in RESOURCES:
+                if error.errno in RESOURCE_ERRORS:
                     self._defer_accepting()
                     return
                 # Only this connection has failed, before it was accepted.
@@ -68,7 +68,7 @@
         if self._deferred_since is None:
             self._deferred_since = self._loop.time()
         self._loop.remove_reader(self._listener)
-        self._loop.call_later(AGAIN, self._resume_accepting)
+        self._loop.call_later(RETRY_INTERVAL, self._resume_accepting)
 
     def _resume_accepting(self) -> None:
         if self._listener.fileno() < 0:
@@ -76,7 +76,7 @@
         try:
             self._loop.add_reader(self._listener, self._accept)
         except OSError:
-            self._loop.call_later(AGAIN, self._resume_accepting)
+            self._loop.call_later(RETRY_INTERVAL, self._resume_accepting)
 
     def _set_up(self, accepted: socket.socket) -> None:
         waiting_since = self._deferred_since
@@ -133,8 +133,8 @@
                 break
             except OSError as error:
                 failures += 1
-                if error.errno in RESOURCES:
-                    await asyncio.sleep(AGAIN / 10)
+                if error.errno in RESOURCE_ERRORS:
+                    await asyncio.sleep(RETRY_INTERVAL / 10)
         self._listener.close()
         if self._setups:
             await asyncio.wait(self._setups)
@@ -158,7 +158,7 @@
         unread = select.poll()
         for connection in self.connections.open:
             unread.register(connection.descriptor, select.POLLIN)
-        ready = look(unread)
+        ready = poll_now(unread)
         if ready is None:
             return {connection.descriptor for connection in self.connections.open}
         return {descriptor for descriptor, _ in ready}
--- a/rushroad/proxy/disconnect_poll.py
+++ b/rushroad/proxy/disconnect_poll.py
@@ -6,7 +6,7 @@
 import select
 from typing import TYPE_CHECKING
 
-from rushroad.proxy.transient_errors import look
+from rushroad.proxy.transient_errors import poll_now
 
 if TYPE_CHECKING:
     from rushroad.proxy.client_connection import ClientConnection
@@ -18,7 +18,7 @@
     """Return whether the other end of a socket has closed; False where the system can't tell."""
     hangup = select.poll()
     hangup.register(descriptor, select.POLLRDHUP)
-    return bool(look(hangup))
+    return bool(poll_now(hangup))
 
 
 class DisconnectPoll:
@@ -45,7 +45,7 @@
             self._hangups.unregister(connection.descriptor)
 
     def _poll(self) -> None:
-        for descriptor, _ in look(self._hangups) or ():
+        for descriptor, _ in poll_now(self._hangups) or ():
             connection = self._watched[descriptor]
             connection.disconnect()
             connection.abort()
--- a/rushroad/proxy/transient_errors.py
+++ b/rushroad/proxy/transient_errors.py
@@ -9,12 +9,12 @@
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
 
-RESOURCES = frozenset({errno.EAGAIN, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+RESOURCE_ERRORS = frozenset({errno.EAGAIN, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 ADDRESS_ERRORS = frozenset({errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENETDOWN})
 FILE_ERRORS = frozenset({errno.EBUSY, errno.EIO, errno.ESTALE, errno.ETIMEDOUT})
-TRANSIENT_ERRORS = RESOURCES | ADDRESS_ERRORS | FILE_ERRORS
+TRANSIENT_ERRORS = RESOURCE_ERRORS | ADDRESS_ERRORS | FILE_ERRORS
 START_RETRY_TIME = 20.0  # seconds for which a start retries; the gateway has to be ready within 30
-AGAIN = 0.05  # seconds between attempts
+RETRY_INTERVAL = 0.05  # seconds between attempts
 POLL_ATTEMPTS = 3
 T = TypeVar("T")
 
@@ -35,17 +35,17 @@
         except OSError as error:
             if error.errno not in retried_errors or time.monotonic() > retry_until:
                 raise
-        await asyncio.sleep(AGAIN)
+        await asyncio.sleep(RETRY_INTERVAL)
 
 
 def readable(descriptor: int) -> bool:
     """Whether data or an end of stream waits on a descriptor; True where the system can't tell."""
     poll = select.poll()
     poll.register(descriptor, select.POLLIN)
-    return look(poll) != []
+    return poll_now(poll) != []
 
 
-def look(poll: select.poll) -> list[tuple[int, int]] | None:
+def poll_now(poll: select.poll) -> list[tuple[int, int]] | None:
     """Return the descriptors that are ready now and their events; None where the system can't tell."""
     for _ in range(POLL_ATTEMPTS):
         try:
--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -15,7 +15,7 @@
 from rushroad.policy.settings import Idempotency, Settings
 from rushroad.proxy import resp
 from rushroad.proxy.engine import Attempt, Engine
-from rushroad.proxy.transient_errors import RESOURCES, look
+from rushroad.proxy.transient_errors import RESOURCE_ERRORS, poll_now
 
 AGE = 0.025  # seconds idle in the first step of a table of ages; each further step is twice as long
 AGES = 12
@@ -28,7 +28,7 @@
 USE = (b"used=", b"cost=")  # how figures on use begin in error lines
 COST = re.compile(rb"(?:^|,)cost=(\d{1,9}(?:\.\d{1,9})?)(?:,|$)")  # the true units, among the figures on use
 ANSWER = 3  # items in an answer: the value, the figures on use, the load report
-OWN_LIMITS = RESOURCES | {errno.EADDRNOTAVAIL}  # errors of a connect that say nothing of the server
+OWN_LIMITS = RESOURCE_ERRORS | {errno.EADDRNOTAVAIL}  # errors of a connect that say nothing of the server
 SILENT = 2  # attempts given up in a row after which a server's idle connections are not trusted
 IDLE_PART = 0.5  # of the time after which a server closes an idle connection; a request crossing that is lost
 
@@ -111,7 +111,7 @@
 
         Guards the next attempt on it, which would be served what was made for another request, or be reset.
         """
-        return self.usable() and look(self._poll) == []
+        return self.usable() and poll_now(self._poll) == []
 
     def carry(self, attempt: Attempt, command: bytes) -> None:
         """Send a request."""
