--- a/rushroad/proxy/endpoint_decoder.py
+++ b/rushroad/proxy/endpoint_decoder.py
@@ -79,7 +79,7 @@
 def _read_endpoint(item: Any, settings: ProxySettings) -> ListedEndpoint:
     """Read an entry. Raises one of UNEXPECTED_JSON_ERRORS where it can't be read.
 
-    Of an endpoint that is draining or removed, the name is enough: that it must be sent nothing counts.
+    Of a draining or removed endpoint only the name has to be readable, as nothing more is sent to it.
     """
     decoded = isinstance(item, EndpointEntry)
     state = ENDPOINT_STATES[item.lifecycle if decoded else item["lifecycle"]]
@@ -95,13 +95,12 @@
 def _convert_entry(entry: EndpointEntry, state: EndpointState, settings: ProxySettings) -> ListedEndpoint:
     if not math.isfinite(entry.weight):
         raise ValueError(f"expected a finite weight, got {entry.weight}")
+    machine_type, zone = entry.machine_type, entry.zone
     endpoint = Endpoint(
         name=entry.instance_id,
         state=state,
-        endpoint_class=0
-        if entry.machine_type is None
-        else settings.endpoint_class_numbers.get(entry.machine_type, 0),
-        zone=0 if entry.zone is None else settings.zone_numbers.get(entry.zone, 0),
+        endpoint_class=0 if machine_type is None else settings.endpoint_class_numbers.get(machine_type, 0),
+        zone=0 if zone is None else settings.zone_numbers.get(zone, 0),
         cell=entry.cell,
         started_at=entry.started_at_ms * 1_000,
         weight=entry.weight,
--- a/tests/proxy/test_configuration.py
+++ b/tests/proxy/test_configuration.py
@@ -2,11 +2,20 @@
 
 import asyncio
 import json
+import re
 from pathlib import Path
 
 import pytest
 
-from rushroad.proxy.configuration import READ_BYTES, ConfigurationError, read_document
+from rushroad.proxy.configuration import (
+    READ_BYTES,
+    RESERVED_SOCKETS,
+    Configuration,
+    ConfigurationError,
+    read_configuration,
+    read_document,
+)
+from tests.integration.test_process import GATEWAY, config
 from tests.support.loopback import run
 from tests.support.watch import LONG_LIST, list_entries
 
@@ -33,3 +42,56 @@
     (tmp_path / "config.json").write_text(text + "{}")
     with pytest.raises(ConfigurationError, match="one whole JSON object"):
         run(scenario)
+
+
+def load(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, text: str) -> Configuration:
+    """Read a configuration of this text."""
+    read: list[Configuration] = []
+
+    async def scenario() -> None:
+        read.append(await read_configuration())
+
+    (tmp_path / "config.json").write_text(text)
+    monkeypatch.setenv("EDGE_CONFIG", str(tmp_path / "config.json"))
+    run(scenario)
+    return read[0]
+
+
+def test_configuration_is_read_into_typed_values(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    configuration = load(tmp_path, monkeypatch, json.dumps(config(discovery=1, counter=2, listen=3)))
+    assert configuration.listen == (GATEWAY, 3)
+    assert configuration.discovery == ("127.0.0.1", 1)
+    assert configuration.counter == ("127.0.0.1", 2)
+    assert configuration.seed == 0x8C1F
+    assert configuration.memory_limit == 192_000_000
+    assert configuration.max_upstream_connections == (1024 - RESERVED_SOCKETS) // 4
+    assert configuration.max_client_connections == (1024 - RESERVED_SOCKETS) * 3 // 4
+
+
+@pytest.mark.parametrize(
+    ("text", "message"),
+    [
+        ("", "the configuration is not one whole JSON object"),
+        ("{nope", "the configuration is not one whole JSON object"),
+        ("[]", "the configuration is not one whole JSON object: expected a JSON object"),
+        ("{}", "the configuration lacks the key 'settings'"),
+        (json.dumps(config(1, 1, 1) | {"limits": {}}), "the configuration lacks the key 'sockets'"),
+        (json.dumps(config(1, 1, 1) | {"limits": 3}), "the configuration has an invalid value"),
+        (
+            json.dumps(config(1, 1, 1) | {"listen": "h:0"}),
+            "the configuration has an invalid value: expected host:port with a port from 1 to 65535, got",
+        ),
+        (json.dumps(config(1, 1, 1) | {"seed": "xyz"}), "the configuration has an invalid value"),
+    ],
+)
+def test_invalid_configuration_raises_an_error_that_says_what_is_wrong(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, text: str, message: str
+) -> None:
+    with pytest.raises(ConfigurationError, match=f"^{re.escape(message)}"):
+        load(tmp_path, monkeypatch, text)
+
+
+def test_unset_environment_variable_is_a_configuration_error(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.delenv("EDGE_CONFIG", raising=False)
+    with pytest.raises(ConfigurationError, match="EDGE_CONFIG is not set"):
+        asyncio.run(read_document())
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -29,24 +29,28 @@
 
 
 @pytest.mark.parametrize(
-    "reply",
+    ("reply", "logged"),
     [
-        b"what is this\r\n\r\n",
-        b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n",
-        HEAD + b"zz\r\n",
-        HEAD + chunk(b"{nope\n"),
-        HEAD + chunk(b"[]\n"),
-        HEAD + chunk(b"{}\n"),
-        HEAD + b"0\r\n\r\n",
+        (b"what is this\r\n\r\n", 1),
+        (b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n", 1),
+        (HEAD + b"zz\r\n", 1),
+        (HEAD + chunk(b"{nope\n"), 0),  # its end may still come
+        (HEAD + chunk(b"[]\n"), 1),
+        (HEAD + chunk(b"{}\n"), 1),
+        (HEAD + b"0\r\n\r\n", 0),  # a proper end
     ],
 )
-def test_malformed_response_closes_the_watch_and_another_is_opened(reply: bytes) -> None:
+def test_response_without_an_endpoint_list_is_followed_by_another_watch(
+    reply: bytes, logged: int, capfd: pytest.CaptureFixture[str]
+) -> None:
     async def scenario(watch: Watch) -> None:
         await watch.peer.answer(reply)
         assert b"from=41 " in await watch.next_request()
         assert not watch.updates
 
     play(scenario)
+    line = "rushroad: discovery sent a watch response that can't be read; closing it and opening another: "
+    assert capfd.readouterr().err.count(line) == logged
 
 
 def test_failing_watches_back_off_until_one_receives_a_list(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -158,7 +162,7 @@
     play(scenario)
 
 
-def test_older_version_never_undoes_a_newer_one() -> None:
+def test_older_version_never_undoes_a_newer_one(capfd: pytest.CaptureFixture[str]) -> None:
     async def scenario(watch: Watch) -> None:
         await watch.peer.answer(HEAD + chunk(list_line(45, lifecycle="DRAINING")))
         assert (await watch.next_update()).endpoints[0].state is EndpointState.DRAINING
@@ -171,6 +175,8 @@
             watch.discovery.close()
 
     play(scenario)
+    line = "rushroad: discovery sent endpoint list version 44, older than 45; keeping the newer one\n"
+    assert capfd.readouterr().err == 2 * line
 
 
 def test_older_long_list_is_ignored() -> None:
