--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -14,7 +14,7 @@
 from rushroad.proxy.engine import Engine
 from rushroad.proxy.idle_resets import IdleResetRates
 from rushroad.proxy.in_flight import Attempt
-from rushroad.proxy.transient_errors import RESOURCES
+from rushroad.proxy.transient_errors import RESOURCE_ERRORS
 from rushroad.proxy.upstream_connection import UpstreamConnection
 from rushroad.proxy.upstream_response import ResponseDecoder
 
@@ -22,7 +22,7 @@
 # Fraction of the endpoints' idle timeout after which idle connections are closed here: a request that crosses
 # an endpoint's close on the way is lost, and one that is not idempotent can't be tried again.
 IDLE_FRACTION = 0.5
-LOCAL_ERRORS = RESOURCES | {errno.EADDRNOTAVAIL}  # of a connect; they say nothing of the endpoint
+LOCAL_ERRORS = RESOURCE_ERRORS | {errno.EADDRNOTAVAIL}  # of a connect; they say nothing of the endpoint
 
 
 class AttemptInFlight:
--- a/rushroad/proxy/upstream_connection.py
+++ b/rushroad/proxy/upstream_connection.py
@@ -8,7 +8,7 @@
 
 from rushroad.policy.events import Result
 from rushroad.proxy import resp
-from rushroad.proxy.transient_errors import look
+from rushroad.proxy.transient_errors import poll_now
 from rushroad.proxy.upstream_response import RESPONSE_ITEMS
 
 if TYPE_CHECKING:
@@ -64,7 +64,7 @@
         Unread bytes belong to the last response: the next attempt would be served them.
         """
         transport = self.transport
-        return transport is not None and not transport.is_closing() and look(self._poll) == []
+        return transport is not None and not transport.is_closing() and poll_now(self._poll) == []
 
     def send(self, attempt: Attempt, command: bytes) -> None:
         """Send an attempt's command."""
