--- a/rushroad/bench/real/gateway_processes.py
+++ b/rushroad/bench/real/gateway_processes.py
@@ -29,12 +29,19 @@
 CHECK_INTERVAL_S = 0.5  # between checks of the processes and their memory
 LOG_TAIL_CHARACTERS = 2_000
 MAX_ANSWER_BYTES = 1 << 16
-# Before the command: the kernel kills it when the bench ends. A `preexec_fn` must not do it: with one, Python
-# runs its hooks after the fork, and a signal's exception that is raised in one of these is dropped.
-KILLED_WITH_PARENT = ("setpriv", "--pdeathsig", "KILL")
 LIBC = ctypes.CDLL(None)
 
 
+def killed_with_parent(command: str, parent_pid: int) -> list[str]:
+    """Return the arguments that run a shell command, which the kernel kills when the parent has ended.
+
+    The shell runs nothing where the parent ended before the kernel knew. A `preexec_fn` must not set this up:
+    with one, Python runs its hooks after the fork, and drops a signal's exception that is raised in these.
+    """
+    checked = f'test "$PPID" -eq {parent_pid} || exit 1; {command}'
+    return ["setpriv", "--pdeathsig", "KILL", "/bin/sh", "-c", checked]
+
+
 @dataclass(frozen=True, slots=True)
 class FleetConfiguration:
     """What the configurations of a fleet's gateways share."""
@@ -63,7 +70,7 @@
         }
         self.started_at = time.monotonic()
         self.process = subprocess.Popen(
-            [*KILLED_WITH_PARENT, "/bin/sh", "-c", tomllib.loads(DEPLOY_FILE.read_text())["run"]],
+            killed_with_parent(tomllib.loads(DEPLOY_FILE.read_text())["run"], os.getpid()),
             cwd=ROOT,
             env={**os.environ, **environment},
             stdin=subprocess.DEVNULL,
--- /dev/null
+++ b/tests/bench/real/test_gateway_processes.py
@@ -0,0 +1,15 @@
+"""The processes of real gateways."""
+
+import os
+import subprocess
+
+import pytest
+
+from rushroad.bench.real.gateway_processes import killed_with_parent
+
+
+@pytest.mark.parametrize(("is_parent", "output"), [(True, b"started\n"), (False, b"")])
+def test_command_runs_only_while_its_parent_does(is_parent: bool, output: bytes) -> None:
+    parent = os.getpid() if is_parent else os.getppid()
+    done = subprocess.run(killed_with_parent("echo started", parent), capture_output=True, check=False)
+    assert (done.stdout, done.returncode) == (output, 0 if is_parent else 1)
--- a/tests/proxy/test_configuration.py
+++ b/tests/proxy/test_configuration.py
@@ -15,7 +15,7 @@
     read_configuration,
     read_document,
 )
-from tests.integration.test_process import GATEWAY, config
+from tests.support.gateway_process import GATEWAY_HOST, configuration
 from tests.support.loopback import run
 from tests.support.watch import LONG_LIST, list_entries
 
@@ -58,14 +58,14 @@
 
 
 def test_configuration_is_read_into_typed_values(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    configuration = load(tmp_path, monkeypatch, json.dumps(config(discovery=1, counter=2, listen=3)))
-    assert configuration.listen == (GATEWAY, 3)
-    assert configuration.discovery == ("127.0.0.1", 1)
-    assert configuration.counter == ("127.0.0.1", 2)
-    assert configuration.seed == 0x8C1F
-    assert configuration.memory_limit == 192_000_000
-    assert configuration.max_upstream_connections == (1024 - RESERVED_SOCKETS) // 4
-    assert configuration.max_client_connections == (1024 - RESERVED_SOCKETS) * 3 // 4
+    read = load(tmp_path, monkeypatch, json.dumps(configuration(1, 2, 3)))
+    assert read.listen == (GATEWAY_HOST, 3)
+    assert read.discovery == ("127.0.0.1", 1)
+    assert read.counter == ("127.0.0.1", 2)
+    assert read.seed == 0x8C1F
+    assert read.memory_limit == 192_000_000
+    assert read.max_upstream_connections == (1024 - RESERVED_SOCKETS) // 4
+    assert read.max_client_connections == (1024 - RESERVED_SOCKETS) * 3 // 4
 
 
 @pytest.mark.parametrize(
@@ -75,13 +75,13 @@
         ("{nope", "the configuration is not one whole JSON object"),
         ("[]", "the configuration is not one whole JSON object: expected a JSON object"),
         ("{}", "the configuration lacks the key 'settings'"),
-        (json.dumps(config(1, 1, 1) | {"limits": {}}), "the configuration lacks the key 'sockets'"),
-        (json.dumps(config(1, 1, 1) | {"limits": 3}), "the configuration has an invalid value"),
+        (json.dumps(configuration(1, 1, 1) | {"limits": {}}), "the configuration lacks the key 'sockets'"),
+        (json.dumps(configuration(1, 1, 1) | {"limits": 3}), "the configuration has an invalid value"),
         (
-            json.dumps(config(1, 1, 1) | {"listen": "h:0"}),
+            json.dumps(configuration(1, 1, 1) | {"listen": "h:0"}),
             "the configuration has an invalid value: expected host:port with a port from 1 to 65535, got",
         ),
-        (json.dumps(config(1, 1, 1) | {"seed": "xyz"}), "the configuration has an invalid value"),
+        (json.dumps(configuration(1, 1, 1) | {"seed": "xyz"}), "the configuration has an invalid value"),
     ],
 )
 def test_invalid_configuration_raises_an_error_that_says_what_is_wrong(
