--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -1,11 +1,14 @@
 """Fixtures of the tests with gateway processes."""
 
-from collections.abc import Iterator
-from contextlib import ExitStack
+import functools
+from collections.abc import AsyncIterator, Iterator
+from contextlib import ExitStack, asynccontextmanager
 from pathlib import Path
+from typing import Any
 
 import pytest
 
+from tests.support.gateway_cluster import ClusterFactory, GatewayCluster, RunningCluster
 from tests.support.gateway_process import Peers, StartGateway, free_port, listen, running_gateway
 
 
@@ -21,3 +24,25 @@
     """Starts a gateway process with a configuration file of this text, and kills it after the test."""
     with ExitStack() as stack:
         yield lambda text: stack.enter_context(running_gateway(tmp_path, text))
+
+
+@pytest.fixture
+def make_cluster(tmp_path: Path) -> ClusterFactory:
+    """Makes a cluster of gateways whose processes the test starts."""
+    return functools.partial(GatewayCluster, tmp_path)
+
+
+@pytest.fixture
+def running_cluster(make_cluster: ClusterFactory) -> RunningCluster:
+    """Makes a cluster of gateways that are started and ready."""
+
+    @asynccontextmanager
+    async def run_cluster(**options: Any) -> AsyncIterator[GatewayCluster]:
+        async with make_cluster(**options) as cluster:
+            for number in range(cluster.gateways):
+                cluster.start(number)
+            for number in range(cluster.gateways):
+                await cluster.ready(number)
+            yield cluster
+
+    return run_cluster
--- a/tests/integration/soak.py
+++ b/tests/integration/soak.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from rushroad.bench.stand_ins.counter import Mode
-from tests.support.gateway_cluster import TICK, Client, World, call
+from tests.support.gateway_cluster import TICK, ClientConnection, GatewayCluster, request_command
 
 KILL_LEAST, KILL_MORE = 3.0, 0.7  # seconds: SIGKILL comes that long after SIGTERM at the earliest
 ANSWER_SLACK = 0.5  # seconds after its time from which a request is lost
@@ -91,11 +91,13 @@
         with tempfile.TemporaryDirectory() as folder:
             sockets = FEW_SOCKETS if self.crowd else SOCKETS
             work = self.chance.choice([0.005, 0.05, 0.2])
-            world = World(Path(folder), servers=6, work=work, settings=self.settings(), sockets=sockets)
+            world = GatewayCluster(
+                Path(folder), servers=6, work=work, settings=self.settings(), sockets=sockets
+            )
             async with world:
                 await self._play(world)
 
-    async def _play(self, world: World) -> None:
+    async def _play(self, world: GatewayCluster) -> None:
         chance, loop = self.chance, asyncio.get_running_loop()
         process = world.start()
         await world.ready()
@@ -127,13 +129,13 @@
         self.outcomes["answered by the guard"] += world.log(0).count("run out")
         if "Traceback" in world.log(0):
             self.broken.append(f"log: {world.log(0)[-300:]!r}")
-        self.late, self.slack = world.late, world.machine()
+        self.late, self.slack = world.max_loop_lag, world.machine()
         if self.late > HELD:  # the machine held this process up for longer than the page allows a gateway
             self.outcomes["void"] += 1
         else:
             self._judge(world)
 
-    async def _trouble(self, world: World) -> None:
+    async def _trouble(self, world: GatewayCluster) -> None:
         """New configurations, a drain, a hang, resets, a gateway held up, a counter that is away."""
         process, server = world.processes[0], self.chance.choice(world.rate_servers)
         match self.chance.randrange(6):
@@ -143,8 +145,8 @@
                     process.send_signal(signal.SIGHUP)
             case 1 if sum(s.lifecycle == "SERVING" for s in world.rate_servers) > 3:
                 server.lifecycle = "DRAINING"
-                world.agent.tell(server)
-                server.told_off_at = asyncio.get_running_loop().time()
+                world.discovery.publish(server)
+                server.draining_since = asyncio.get_running_loop().time()
             case 2:
                 server.hangs = not server.hangs
             case 3:
@@ -157,10 +159,10 @@
             case 5:
                 world.counter.set_mode(self.chance.choice(list(Mode)), 1, self.chance.uniform(0.01, 0.2))
 
-    async def _use(self, world: World, number: int) -> None:
+    async def _use(self, world: GatewayCluster, number: int) -> None:
         """One client: uses its connection as long as it stays open, then opens another."""
         chance, fresh = Random(self.seed * 1_000 + number), True
-        client: Client | None = None
+        client: ClientConnection | None = None
         while not self.ends:
             if client is None:
                 try:
@@ -195,12 +197,12 @@
         name = chance.choice(list(EFFECTS))
         patience = self.deadline * chance.uniform(0.2, 1.0)
         identifier = len(self.sent) + 1
-        text = call(identifier, max(1, int(patience * 1e3)), tenant=number, name=name)
+        text = request_command(identifier, max(1, int(patience * 1e3)), tenant=number, name=name)
         request = b"%016x" % identifier
         self.sent[request] = Sent(name, asyncio.get_running_loop().time(), patience, first)
         return text, request
 
-    def _judge(self, world: World) -> None:
+    def _judge(self, world: GatewayCluster) -> None:
         attempts = defaultdict(list)
         for attempt in world.attempts():
             attempts[attempt.request].append(attempt)
@@ -217,7 +219,7 @@
                 if over > TOLD_SLACK + self.slack:
                     self.broken.append(f"{request!r} told {over:.3f} s more than is left")
         for server in world.rate_servers:
-            late = [a for a in server.attempts if a.at > server.told_off_at + DRAIN_GRACE + self.slack]
+            late = [a for a in server.attempts if a.at > server.draining_since + DRAIN_GRACE + self.slack]
             if late:
                 self.broken.append(f"{server.name} got {len(late)} attempts after its grace")
 
--- a/tests/integration/test_actual_units.py
+++ b/tests/integration/test_actual_units.py
@@ -12,7 +12,8 @@
 from rushroad.proxy.in_flight import Attempt
 from rushroad.proxy.upstream import Upstream
 from tests.proxy.test_upstream import FAST, LONG, at, held
-from tests.support.gateway_cluster import World, call
+from tests.support.gateway_cluster import GatewayCluster as World
+from tests.support.gateway_cluster import request_command as call
 from tests.support.loopback import Heard, Peer, run
 
 BURST, RATE, TRUE = 12.0, 1.0, 4
--- a/tests/integration/test_arrival_times.py
+++ b/tests/integration/test_arrival_times.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from tests.support.gateway_cluster import World, call
+from tests.support.gateway_cluster import GatewayCluster as World
+from tests.support.gateway_cluster import request_command as call
 from tests.support.loopback import resp, run
 
 DEADLINE_SLACK = 0.15  # seconds by which the deadline passed on may exceed the client's
--- a/tests/integration/test_nonblocking_log.py
+++ b/tests/integration/test_nonblocking_log.py
@@ -6,7 +6,8 @@
 import signal
 from pathlib import Path
 
-from tests.support.gateway_cluster import World, call
+from tests.support.gateway_cluster import GatewayCluster as World
+from tests.support.gateway_cluster import request_command as call
 from tests.support.loopback import run
 
 PIPE_BYTES = 4_096
--- a/tests/integration/test_system_calls.py
+++ b/tests/integration/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, at the start and in service: each request still has its answer."""
+"""System calls that fail for a moment, at the start and in service: each request still gets its answer."""
 
 import asyncio
 import signal
@@ -7,82 +7,85 @@
 
 import pytest
 
-from tests.support.faults import FOR_EVER, faults, rule
-from tests.support.gateway_cluster import Agent, World, call
+from tests.support.discovery_agent import DiscoveryAgent
+from tests.support.faults import UNLIMITED, fault, faulty_environment
+from tests.support.gateway_cluster import ClusterFactory, GatewayCluster, RunningCluster, request_command
 from tests.support.loopback import run
 
-PATIENCE_MS = 2_000
+TIME_REMAINING_MS = 2_000
 CLIENTS, REQUESTS = 8, 10
-CONFIG = "n0.json"
-MAKE_CONNECTIONS = ("connect", "socket", "setsockopt", "getsockname")  # calls that a new connection needs
-SERVED_PART = 0.5
-LOSS = b""  # a connection that ended without the answer that was owed on it
+CONFIGURATION_FILE = "n0.json"
+CONNECTION_CALLS = ("connect", "socket", "setsockopt", "getsockname")  # calls that a new connection needs
+MIN_SERVED_FRACTION = 0.5  # where new connections may fail
+SERVED = b"served"
+NO_ANSWER = b""  # the connection ended before the answer that was owed on it
 
 
-async def ask(world: World, number: int, answers: Counter[bytes]) -> None:
+async def use_connection(cluster: GatewayCluster, number: int, answers: Counter[bytes]) -> None:
     """One client's requests, one after the other."""
-    client = await world.connect()
+    client = await cluster.connect()
     for request in range(number * REQUESTS, (number + 1) * REQUESTS):
-        client.writer.write(call(request, PATIENCE_MS, tenant=number))
-        async with asyncio.timeout(PATIENCE_MS / 1e3 + 1.0):
+        client.writer.write(request_command(request, TIME_REMAINING_MS, tenant=number))
+        async with asyncio.timeout(TIME_REMAINING_MS / 1e3 + 1.0):
             answer = await client.answer()
-        answers[b"served" if answer == b"%016x" % request else answer] += 1
-        if not answer:
+        answers[SERVED if answer == b"%016x" % request else answer] += 1
+        if answer == NO_ANSWER:
             return
 
 
-async def ask_all(world: World) -> Counter[bytes]:
+async def use_connections(cluster: GatewayCluster) -> Counter[bytes]:
     """All clients at once; how often each answer came."""
     answers: Counter[bytes] = Counter()
-    await asyncio.gather(*(ask(world, number, answers) for number in range(CLIENTS)))
+    await asyncio.gather(*(use_connection(cluster, number, answers) for number in range(CLIENTS)))
     return answers
 
 
-NO_FILE = ("ENFILE", "EMFILE", "ENOMEM", "EIO", "EINTR")
-START = [
-    *[rule("socket", error, 4) for error in ("ENOBUFS", "ENOMEM", "ENFILE", "EMFILE")],
-    *[rule("socket", "ENOBUFS", first) for first in (1, 2, 3)],
-    *[rule("bind", error, 1) for error in ("EADDRNOTAVAIL", "EADDRINUSE", "ENOBUFS", "ENOMEM")],
-    rule("bind", "EADDRINUSE", 1, 20),
-    *[rule("listen", error, first) for error in ("ENOBUFS", "EADDRINUSE") for first in (1, 2)],
-    *[rule("open", error, first) for error in NO_FILE for first in (1, 2)],
-    *[rule("setsockopt", "ENOBUFS", first) for first in (1, 2, 3, 4, 5)],
-    *[rule("getsockname", "ENOBUFS", first) for first in (1, 2)],
-    *[rule("epoll_ctl", "ENOMEM", first) for first in (1, 2, 3, 4)],
-    rule("epoll_wait", "EINTR", 1, FOR_EVER, 2),
+OPEN_ERRORS = ("ENFILE", "EMFILE", "ENOMEM", "EIO", "EINTR")
+START_FAULTS = [
+    *[fault("socket", error, 4) for error in ("ENOBUFS", "ENOMEM", "ENFILE", "EMFILE")],
+    *[fault("socket", "ENOBUFS", first) for first in (1, 2, 3)],
+    *[fault("bind", error, 1) for error in ("EADDRNOTAVAIL", "EADDRINUSE", "ENOBUFS", "ENOMEM")],
+    fault("bind", "EADDRINUSE", 1, 20),
+    *[fault("listen", error, first) for error in ("ENOBUFS", "EADDRINUSE") for first in (1, 2)],
+    *[fault("open", error, first) for error in OPEN_ERRORS for first in (1, 2)],
+    *[fault("setsockopt", "ENOBUFS", first) for first in (1, 2, 3, 4, 5)],
+    *[fault("getsockname", "ENOBUFS", first) for first in (1, 2)],
+    *[fault("epoll_ctl", "ENOMEM", first) for first in (1, 2, 3, 4)],
+    fault("epoll_wait", "EINTR", 1, UNLIMITED, 2),
 ]
 
 
-@pytest.mark.parametrize("fault", START)
-def test_a_call_that_fails_for_a_moment_at_the_start_does_not_end_the_process(
-    tmp_path: Path, fault: str
+@pytest.mark.parametrize("start_fault", START_FAULTS)
+def test_system_call_that_fails_for_a_moment_at_the_start_does_not_end_the_process(
+    running_cluster: RunningCluster, start_fault: str
 ) -> None:
     async def scenario() -> None:
-        async with World(tmp_path, servers=2, faults={0: faults(fault, file=CONFIG)}) as world:
-            world.start()
-            await world.ready()
-            client = await world.connect()
-            client.writer.write(call(1, PATIENCE_MS))
+        environment = faulty_environment(start_fault, file=CONFIGURATION_FILE)
+        async with running_cluster(servers=2, environments={0: environment}) as cluster:
+            client = await cluster.connect()
+            client.writer.write(request_command(1, TIME_REMAINING_MS))
             assert await client.answer() == b"%016x" % 1
-            assert await world.stop() == 0
+            assert await cluster.stop() == 0
 
     run(scenario)
 
 
-def test_what_stays_wrong_at_the_start_ends_it_with_one_line(tmp_path: Path) -> None:
+def test_system_call_that_always_fails_at_the_start_ends_the_process_with_one_line(
+    make_cluster: ClusterFactory,
+) -> None:
     async def scenario() -> None:
-        fault = rule("bind", "EACCES", 1, FOR_EVER)
-        async with World(tmp_path, servers=1, faults={0: faults(fault)}) as world:
-            world.start()
-            assert await world.ended() == 2
-            assert world.log(0).count("\n") == 1
-            assert world.log(0).startswith("rushroad: can't start: [Errno 13]")
+        environment = faulty_environment(fault("bind", "EACCES", 1, UNLIMITED))
+        async with make_cluster(servers=1, environments={0: environment}) as cluster:
+            cluster.start()
+            assert await cluster.exit_status() == 2
+            assert cluster.log(0).count("\n") == 1
+            assert cluster.log(0).startswith("rushroad: can't start: [Errno 13]")
 
     run(scenario)
 
 
-# Calls of which one in three fails from when the gateway is ready, with errors that their pages name.
-SERVICE = [
+# Calls of which one in three fails from when the gateway is ready, with errors that their manual pages list.
+SERVICE_FAULTS = [
     *[
         ("accept", error)
         for error in (
@@ -115,69 +118,68 @@
 ]
 
 
-@pytest.mark.parametrize(("system_call", "error"), SERVICE)
-def test_calls_that_fail_in_service_cost_no_request(tmp_path: Path, system_call: str, error: str) -> None:
+@pytest.mark.parametrize(("system_call", "error"), SERVICE_FAULTS)
+def test_system_calls_that_fail_in_service_lose_no_answer(
+    tmp_path: Path, running_cluster: RunningCluster, system_call: str, error: str
+) -> None:
     async def scenario() -> None:
         switch = tmp_path / "failing"
-        fault = faults(rule(system_call, error, 1, FOR_EVER, 3), switch=switch)
-        async with World(tmp_path, servers=3, faults={0: fault}) as world:
-            world.start()
-            await world.ready()
+        environment = faulty_environment(fault(system_call, error, 1, UNLIMITED, 3), switch=switch)
+        async with running_cluster(servers=3, environments={0: environment}) as cluster:
             switch.touch()
-            answers = await ask_all(world)
+            answers = await use_connections(cluster)
             assert answers.total() == CLIENTS * REQUESTS
-            assert not answers[LOSS], answers
-            # A request may be refused where no connection to a rate server can be made for it.
-            needed = 1.0 if system_call not in MAKE_CONNECTIONS else SERVED_PART
-            assert answers[b"served"] >= needed * answers.total(), answers
-            assert "run out" not in world.log(0)
-            assert await world.stop() == 0
+            assert not answers[NO_ANSWER], answers
+            # A request may be rejected where no connection to a rate server can be made for it.
+            served_fraction = 1.0 if system_call not in CONNECTION_CALLS else MIN_SERVED_FRACTION
+            assert answers[SERVED] >= served_fraction * answers.total(), answers
+            assert "run out" not in cluster.log(0)
+            assert await cluster.stop() == 0
 
     run(scenario)
 
 
 @pytest.mark.parametrize("error", ["ENFILE", "EMFILE", "ENOMEM", "EIO", "ENOENT", "EINTR"])
-def test_a_new_configuration_that_cannot_be_opened_for_a_moment_is_read_then(
-    tmp_path: Path, error: str
+def test_new_configuration_that_cannot_be_opened_for_a_moment_is_read_afterwards(
+    tmp_path: Path, running_cluster: RunningCluster, error: str
 ) -> None:
     async def scenario() -> None:
         switch = tmp_path / "failing"
-        fault = faults(rule("open", error, 1, 3), file=CONFIG, switch=switch)
-        async with World(tmp_path, servers=1, faults={0: fault}) as world:
-            process = world.start()
-            await world.ready()
-            elsewhere = Agent(world.rate_servers)
-            await elsewhere.listen()
-            world.configure(0, discovery=elsewhere.address)
+        environment = faulty_environment(fault("open", error, 1, 3), file=CONFIGURATION_FILE, switch=switch)
+        async with running_cluster(servers=1, environments={0: environment}) as cluster:
+            new_discovery = DiscoveryAgent(cluster.rate_servers)
+            await new_discovery.listen()
+            cluster.configure(0, discovery=new_discovery.address)
             switch.touch()
-            process.send_signal(signal.SIGHUP)
-            async with asyncio.timeout(4.0):  # after SIGHUP, what discovery has counts as told
-                await elsewhere.asked.wait()
-            elsewhere.close()
-            assert await world.stop() == 0
+            cluster.processes[0].send_signal(signal.SIGHUP)
+            async with asyncio.timeout(4.0):  # after that, a gateway counts as knowing what discovery has
+                await new_discovery.watched.wait()
+            new_discovery.close()
+            assert await cluster.stop() == 0
 
     run(scenario)
 
 
 @pytest.mark.parametrize("error", ["ECONNABORTED", "EINTR", "EMFILE", "ENOBUFS", "EPROTO"])
-def test_a_connection_that_waits_at_the_stop_is_taken_though_accept_fails(tmp_path: Path, error: str) -> None:
-    # Its request has been taken by the machine; the listener's close would reset it.
+def test_connections_waiting_at_shutdown_are_accepted_though_accept_fails_for_a_moment(
+    tmp_path: Path, running_cluster: RunningCluster, error: str
+) -> None:
+    # The system has received their requests; closing the listener would reset them.
     async def scenario() -> None:
         switch = tmp_path / "failing"
-        fault = faults(rule("accept", error, 1, 12), switch=switch)
-        async with World(tmp_path, servers=1, faults={0: fault}) as world:
-            process = world.start()
-            await world.ready()
+        environment = faulty_environment(fault("accept", error, 1, 12), switch=switch)
+        async with running_cluster(servers=1, environments={0: environment}) as cluster:
+            process = cluster.processes[0]
             process.send_signal(signal.SIGSTOP)
-            clients = [await world.connect() for _ in range(6)]
+            clients = [await cluster.connect() for _ in range(6)]
             for number, client in enumerate(clients):
-                client.writer.write(call(number, PATIENCE_MS))
+                client.writer.write(request_command(number, TIME_REMAINING_MS))
             process.send_signal(signal.SIGTERM)
             switch.touch()
             process.send_signal(signal.SIGCONT)
             assert all([await client.answer() for client in clients])
             for client in clients:
                 client.writer.close()
-            assert await world.ended() == 0
+            assert await cluster.exit_status() == 0
 
     run(scenario)
--- a/tests/support/faults.c
+++ b/tests/support/faults.c
@@ -20,14 +20,14 @@
 #include <time.h>
 #include <unistd.h>
 #define REAL(f) ((__typeof__(&f))dlsym(RTLD_NEXT, #f))
-#define MOST_RULES 32
+#define MAX_RULES 32
 
-static struct rule { char call[16]; unsigned error, first, last, every, seen; } rules[MOST_RULES];
+static struct rule { char call[16]; unsigned error, first, last, every, seen; } rules[MAX_RULES];
 static unsigned count;
 
 __attribute__((constructor)) static void read_rules(void) {
   const char *at = getenv("FAULTS");
-  for (; at && *at && count < MOST_RULES; at = strchr(at, ',') ? strchr(at, ',') + 1 : "") {
+  for (; at && *at && count < MAX_RULES; at = strchr(at, ',') ? strchr(at, ',') + 1 : "") {
     struct rule *r = &rules[count];
     if (sscanf(at, "%15[^:]:%u:%u:%u:%u", r->call, &r->error, &r->first, &r->last, &r->every) == 5) count++;
     else abort();
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail in one gateway's process, and a wall clock that is wrong there."""
+"""Environments in which system calls of a gateway process fail, or its wall clock is wrong."""
 
 import errno
 import functools
@@ -8,34 +8,39 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("faults.c")
-FOR_EVER = 1 << 30
+UNLIMITED = 1 << 30  # as the last call of a rule: there is none
 
 
 @functools.cache
-def library() -> str:
-    """The compiled library."""
-    folder = Path(tempfile.mkdtemp(prefix="faults"))
-    compiled = folder / "faults.so"
+def compiled_library() -> str:
+    """The path of the library for LD_PRELOAD."""
+    library = Path(tempfile.mkdtemp(prefix="faults")) / "faults.so"
     subprocess.run(
-        ["cc", "-shared", "-fPIC", "-O1", "-Wall", "-o", str(compiled), str(SOURCE), "-ldl"], check=True
+        ["cc", "-shared", "-fPIC", "-O1", "-Wall", "-o", str(library), str(SOURCE), "-ldl"], check=True
     )
-    return str(compiled)
+    return str(library)
 
 
-def rule(call: str, error: str, first: int, last: int | None = None, every: int = 1) -> str:
+def fault(call: str, error: str, first: int, last: int | None = None, every: int = 1) -> str:
     """Of the calls numbered `first` to `last`, every `every`-th fails; only the first of them by default."""
     return f"{call}:{getattr(errno, error)}:{first}:{first if last is None else last}:{every}"
 
 
-def faults(*rules: str, step: int = 0, file: str = "", switch: Path | None = None) -> dict[str, str]:
+def faulty_environment(
+    *faults: str, clock_step: int = 0, file: str = "", switch: Path | None = None
+) -> dict[str, str]:
     """The environment of a gateway whose calls fail so.
 
-    step: seconds by which its wall clock is wrong; file: the end of the name of the file whose opening may
-    fail; switch: the rules hold only while this file exists.
+    clock_step: seconds by which its wall clock is wrong; file: the end of the name of the file whose opening
+    may fail; switch: calls fail only while this file exists.
     """
-    env = {"LD_PRELOAD": library(), "FAULTS": ",".join(rules), "CLOCK_STEP": str(step)}
+    environment = {
+        "LD_PRELOAD": compiled_library(),
+        "FAULTS": ",".join(faults),
+        "CLOCK_STEP": str(clock_step),
+    }
     if file:
-        env["FAULTS_FILE"] = file
+        environment["FAULTS_FILE"] = file
     if switch is not None:
-        env["FAULTS_AT"] = os.fspath(switch)
-    return env
+        environment["FAULTS_AT"] = os.fspath(switch)
+    return environment
--- /dev/null
+++ b/tests/support/rate_server.py
@@ -0,0 +1,107 @@
+"""A rate server on loopback that records the attempts that come to it."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+import re
+from dataclasses import dataclass
+from typing import Any, cast
+
+from rushroad.bench.stand_ins.replies import Replies, Reply
+from rushroad.proxy import resp
+
+DEADLINE = re.compile(rb"(?:^|,)d=(\d+)(?:,|$)")
+
+
+@dataclass(slots=True)
+class Attempt:
+    """A command that a rate server has received whole. Times are in seconds of the test's loop."""
+
+    server: str
+    request: bytes
+    told: int  # milliseconds until the deadline, as the gateway passed it on
+    at: float
+    ended_at: float = math.inf  # when its answer was written or its connection ended
+
+
+class _Connection(asyncio.Protocol):
+    def __init__(self, server: RateServer) -> None:
+        self._server, self._reader = server, resp.Reader(16)
+        self.transport: asyncio.Transport
+        self.replies: Replies
+        self.in_flight: list[Attempt] = []
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self.transport = cast(asyncio.Transport, transport)
+        self.replies = Replies(self.transport)
+        self._server.connections.add(self)
+
+    def connection_lost(self, _error: Exception | None) -> None:
+        self._server.connections.discard(self)
+        for attempt in self.in_flight:
+            attempt.ended_at = asyncio.get_running_loop().time()
+
+    def data_received(self, data: bytes) -> None:
+        self._reader.feed(data)
+        while (words := self._reader.next()) is not None:
+            self._server.receive(cast(list[bytes], words), self)
+
+
+class RateServer:
+    """Answers each request with its id after `service_time` seconds; not at all while it hangs."""
+
+    def __init__(self, name: str, service_time: float) -> None:
+        self.name, self.service_time, self.hangs = name, service_time, False
+        self.started_at_ms, self.lifecycle = 0, "SERVING"
+        self.draining_since = math.inf  # when the endpoint list first said so
+        self.value = b""  # of each answer; the request's id where it is empty
+        self.figures = b"$-1\r\n"  # the part of each answer that tells a tenant's use
+        self.attempts: list[Attempt] = []
+        self.connections: set[_Connection] = set()
+        self.address = ""
+        self._listener: asyncio.Server
+
+    async def listen(self) -> None:
+        """Listen on a free port."""
+        loop = asyncio.get_running_loop()
+        self._listener = await loop.create_server(lambda: _Connection(self), "127.0.0.1", 0)
+        self.address = f"127.0.0.1:{self._listener.sockets[0].getsockname()[1]}"
+
+    def receive(self, words: list[bytes], connection: _Connection) -> None:
+        """Record an attempt and answer it after the service time."""
+        loop, reply = asyncio.get_running_loop(), connection.replies.place()
+        deadline = DEADLINE.search(words[3])
+        assert deadline is not None, words
+        attempt = Attempt(self.name, words[2], int(deadline[1]), loop.time())
+        self.attempts.append(attempt)
+        connection.in_flight.append(attempt)
+        if not self.hangs:
+            loop.call_later(self.service_time, self._answer, connection, reply, attempt)
+
+    def _answer(self, connection: _Connection, reply: Reply, attempt: Attempt) -> None:
+        if not connection.transport.is_closing():
+            connection.in_flight.remove(attempt)
+            attempt.ended_at = asyncio.get_running_loop().time()
+            value = self.value or attempt.request
+            answer = b"*3\r\n$%d\r\n%b\r\n%b$-1\r\n" % (len(value), value, self.figures)
+            connection.replies.fill(reply, answer)
+
+    def entry(self) -> dict[str, Any]:
+        """Its entry in the endpoint list, in discovery's form."""
+        return {
+            "instanceId": self.name,
+            "hostPort": self.address,
+            "zone": "room-a",
+            "machineType": "full",
+            "cell": 1,
+            "lifecycle": self.lifecycle,
+            "weight": 1.0,
+            "startedAtMs": self.started_at_ms,
+        }
+
+    def close(self) -> None:
+        """Stop listening and abort all connections."""
+        self._listener.close()
+        for connection in list(self.connections):
+            connection.transport.abort()
