--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -16,9 +16,7 @@
 MAX_WORDS = 16  # of a command; more than clients and their libraries send in any
 MAX_UNANSWERED = 64  # commands of a connection; further ones are not taken yet
 MAX_COMMANDS_PER_TURN = 64  # taken from one connection before others have their turn
-INVALID_COMMAND_PAUSE = (
-    0.05  # seconds without reading, so that repeats don't take the other clients' CPU time
-)
+INVALID_COMMAND_PAUSE = 0.05  # seconds without reading: repeats must not take the other clients' CPU time
 READ_AHEAD_BYTES = 8 * 1024  # of commands that are not taken yet; arrival times are less exact beyond
 MAX_LINGERING_READ_BYTES = 256 * 1024  # unread bytes at close would reset the connection and lose answers
 
--- a/rushroad/proxy/endpoint_decoder.py
+++ b/rushroad/proxy/endpoint_decoder.py
@@ -76,7 +76,7 @@
     )
 
 
-def _read_endpoint(item: Any, names: ProxySettings) -> ListedEndpoint:
+def _read_endpoint(item: Any, settings: ProxySettings) -> ListedEndpoint:
     """Read an entry. Raises one of UNEXPECTED_JSON_ERRORS where it can't be read.
 
     Of an endpoint that is draining or removed, the name is enough: that it must be sent nothing counts.
@@ -84,7 +84,7 @@
     decoded = isinstance(item, EndpointEntry)
     state = ENDPOINT_STATES[item.lifecycle if decoded else item["lifecycle"]]
     try:
-        return _convert_entry(item if decoded else _coerce_entry(item), state, names)
+        return _convert_entry(item if decoded else _coerce_entry(item), state, settings)
     except UNEXPECTED_JSON_ERRORS:
         if state is EndpointState.READY:
             raise
@@ -92,7 +92,7 @@
         return Endpoint(name, state), NO_ADDRESS
 
 
-def _convert_entry(entry: EndpointEntry, state: EndpointState, names: ProxySettings) -> ListedEndpoint:
+def _convert_entry(entry: EndpointEntry, state: EndpointState, settings: ProxySettings) -> ListedEndpoint:
     if not math.isfinite(entry.weight):
         raise ValueError(f"expected a finite weight, got {entry.weight}")
     endpoint = Endpoint(
@@ -100,8 +100,8 @@
         state=state,
         endpoint_class=0
         if entry.machine_type is None
-        else names.endpoint_class_numbers.get(entry.machine_type, 0),
-        zone=0 if entry.zone is None else names.zone_numbers.get(entry.zone, 0),
+        else settings.endpoint_class_numbers.get(entry.machine_type, 0),
+        zone=0 if entry.zone is None else settings.zone_numbers.get(entry.zone, 0),
         cell=entry.cell,
         started_at=entry.started_at_ms * 1_000,
         weight=entry.weight,
@@ -153,7 +153,7 @@
 
     def __init__(
         self,
-        names: ProxySettings,
+        settings: ProxySettings,
         memory_limit: int,
         kind: UpdateKind | None = None,
         path: tuple[str, ...] = (),
@@ -163,7 +163,7 @@
         path: the keys that lead to the list where it is part of a larger object.
         """
         self._splitter = JsonSplitter((*path, "instances"))
-        self._names, self._kind, self._path = names, kind, path
+        self._settings, self._kind, self._path = settings, kind, path
         self._max_text = int(memory_limit * LIST_TEXT_SHARE)  # bytes
         self._max_buffered_text = int(memory_limit * BUFFERED_TEXT_SHARE)  # bytes
         self._max_endpoints = memory_limit // MEMORY_PER_ENDPOINT
@@ -268,7 +268,7 @@
         listed = []
         for item in items:
             try:
-                listed.append(_read_endpoint(item, self._names))
+                listed.append(_read_endpoint(item, self._settings))
             except UNEXPECTED_JSON_ERRORS as error:
                 text = str(item)[:200]
                 log(f"endpoint list has an entry that can't be read; skipping it: {error!r} in {text}")
--- a/tests/integration/test_largest_values.py
+++ b/tests/integration/test_largest_values.py
@@ -1,6 +1,6 @@
 """Values of 64 KiB, the largest that the protocol allows, through a real gateway."""
 
-from rushroad.bench.real.gateway_processes import settings as gateway_settings
+from rushroad.bench.real.gateway_settings import gateway_settings
 from tests.support.gateway_cluster import RunningCluster, request_command
 from tests.support.loopback import run
 
--- a/tests/support/gateway_cluster.py
+++ b/tests/support/gateway_cluster.py
@@ -16,7 +16,7 @@
 from types import TracebackType
 from typing import Any
 
-from rushroad.bench.real.gateway_processes import settings as gateway_settings
+from rushroad.bench.real.gateway_settings import gateway_settings
 from rushroad.bench.stand_ins.counter import Counter
 from rushroad.proxy import resp
 from tests.support.discovery_agent import DiscoveryAgent
--- a/tests/support/rate_server.py
+++ b/tests/support/rate_server.py
@@ -70,7 +70,7 @@
 
     def receive(self, words: list[bytes], connection: _Connection) -> None:
         """Record an attempt and answer it after the service time."""
-        loop, reply = asyncio.get_running_loop(), connection.replies.place()
+        loop, reply = asyncio.get_running_loop(), connection.replies.reserve()
         deadline = DEADLINE.search(words[3])
         assert deadline is not None, words
         attempt = Attempt(self.name, words[2], int(deadline[1]), loop.time())
