--- a/tests/integration/test_actual_units.py
+++ b/tests/integration/test_actual_units.py
@@ -6,7 +6,7 @@
 import pytest
 
 from rushroad.bench.real.gateway_settings import gateway_settings
-from tests.support.gateway_cluster import World, call
+from tests.support.gateway_cluster import GatewayCluster, request_command
 from tests.support.loopback import run
 
 BURST, RATE, ACTUAL_UNITS = 12.0, 1.0, 4
@@ -17,7 +17,7 @@
 def test_quota_counts_actual_units(tmp_path: Path, gateways: int) -> None:
     async def scenario() -> None:
         extra = gateway_settings(1, 0)["extra"] | {"truedUp": True}
-        world = World(tmp_path, gateways=gateways, settings={"packages": [PLAN], "extra": extra})
+        world = GatewayCluster(tmp_path, gateways=gateways, settings={"packages": [PLAN], "extra": extra})
         async with world:
             for server in world.rate_servers:
                 server.figures = b"$13\r\nused=3,cost=%d\r\n" % ACTUAL_UNITS
@@ -30,7 +30,7 @@
             began, served = loop.time(), 0
             for request in range(40):
                 client = clients[request % gateways]
-                client.writer.write(call(request, 3_000, tenant=9, spread=gateways))
+                client.writer.write(request_command(request, 3_000, tenant=9, spread=gateways))
                 served += await client.answer() == b"%016x" % request
             allowed = (BURST + RATE * (loop.time() - began)) / ACTUAL_UNITS
             # Each gateway learns the actual units of its last request only afterwards.
--- a/tests/integration/test_arrival_times.py
+++ b/tests/integration/test_arrival_times.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.support.gateway_cluster import World, call
+from tests.support.gateway_cluster import GatewayCluster, request_command
 from tests.support.loopback import resp, run
 
 DEADLINE_SLACK = 0.15  # seconds by which the deadline passed on may exceed the client's
@@ -21,13 +21,13 @@
     tmp_path: Path, commands: int, work: float
 ) -> None:
     async def scenario() -> None:
-        async with World(tmp_path, work=work) as world:
+        async with GatewayCluster(tmp_path, work=work) as world:
             world.start()
             await world.ready()
             client, loop = await world.connect(), asyncio.get_running_loop()
             numbers = range(commands)
             client.writer.write(
-                b"".join(call(number, CLIENT_TIMEOUT_MS, tenant=number) for number in numbers)
+                b"".join(request_command(number, CLIENT_TIMEOUT_MS, tenant=number) for number in numbers)
             )
             sent = loop.time()
             answered = []
@@ -49,7 +49,7 @@
     tmp_path: Path, new_connection: bool
 ) -> None:
     async def scenario() -> None:
-        async with World(tmp_path, servers=2) as world:
+        async with GatewayCluster(tmp_path, servers=2) as world:
             process, loop = world.start(), asyncio.get_running_loop()
             await world.ready()
             client = await world.connect()
@@ -57,7 +57,7 @@
             assert await client.answer() == b"+PONG"
             process.send_signal(signal.SIGSTOP)
             client = await world.connect() if new_connection else client
-            client.writer.write(call(1, CLIENT_TIMEOUT_MS))
+            client.writer.write(request_command(1, CLIENT_TIMEOUT_MS))
             sent = loop.time()
             await asyncio.sleep(STALL)  # the time itself is what is tested
             process.send_signal(signal.SIGCONT)
--- a/tests/integration/test_nonblocking_log.py
+++ b/tests/integration/test_nonblocking_log.py
@@ -6,7 +6,7 @@
 import signal
 from pathlib import Path
 
-from tests.support.gateway_cluster import World, call
+from tests.support.gateway_cluster import GatewayCluster, request_command
 from tests.support.loopback import run
 
 PIPE_BYTES = 4_096
@@ -31,7 +31,7 @@
     async def scenario() -> None:
         reader, writer = os.pipe()
         fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
-        async with World(tmp_path, servers=2, stderr=writer) as world:
+        async with GatewayCluster(tmp_path, servers=2, stderr=writer) as world:
             process = world.start()
             os.close(writer)
             await world.ready()
@@ -39,7 +39,7 @@
             world.file(0).write_text("{nope")
             for request in range(1, LINES):
                 process.send_signal(signal.SIGHUP)
-                client.writer.write(call(request, 2_000))
+                client.writer.write(request_command(request, 2_000))
                 async with asyncio.timeout(2.0):
                     assert await client.answer() == b"%016x" % request
                 if request % 20 == 0:
