--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -1,9 +1,16 @@
-"""Fixtures for tests of the proxy's parts."""
+"""Set-up that several tests of the proxy share."""
 
 import pytest
 
 from rushroad.proxy import discovery, endpoint_decoder
 from rushroad.proxy.nonblocking_log import NonBlockingLog
+from tests.support.client_side import Play, play_scenario
+
+
+@pytest.fixture
+def play() -> Play:
+    """Runs a scenario on the client side of a gateway, whose engine records what it is asked."""
+    return play_scenario
 
 
 @pytest.fixture
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -19,7 +19,7 @@
     list_line,
     long_list,
     long_list_with_its_version_last,
-    play,
+    play_watch,
 )
 
 pytestmark = pytest.mark.usefixtures("fresh_log")
@@ -42,7 +42,7 @@
         assert listed == [(endpoint, (LOCAL, 81))]
         assert (await watch.next_update()).endpoints[0].state is EndpointState.DRAINING
 
-    play(scenario)
+    play_watch(scenario)
 
 
 @pytest.mark.parametrize("indent", [None, 2])
@@ -67,7 +67,7 @@
         else:  # each is whole in itself
             assert {(u.kind, u.first, u.last) for u in updates} == {(UpdateKind.DELTA, True, True)}
 
-    play(scenario)
+    play_watch(scenario)
 
 
 def test_many_short_lists_that_come_together_have_a_turn_of_the_loop_each() -> None:
@@ -77,7 +77,7 @@
         await watch.until_version(141)
         assert len(set(watch.turns)) == len(watch.turns) == 100
 
-    play(scenario)
+    play_watch(scenario)
 
 
 def test_list_with_its_version_last_is_buffered_until_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -105,7 +105,7 @@
         first, last = watch.updates[0], watch.updates[-1]
         assert [(first.first, first.last), (last.first, last.last)] == [(True, False), (False, True)]
 
-    play(scenario)
+    play_watch(scenario)
 
 
 @pytest.mark.parametrize(
@@ -122,7 +122,7 @@
         assert len(watch.endpoint_names()) < LONG_LIST / 2
         assert not any(update.last for update in watch.updates)
 
-    play(scenario, memory_limit=6 << 20)
+    play_watch(scenario, memory_limit=6 << 20)
     err = capfd.readouterr().err
     assert err.count("more than the memory limit allows") == err.count("\n") == 1
 
@@ -139,7 +139,7 @@
         watch.peer.writers[0].write(chunk(b"\n" + list_line(43)))
         assert (await watch.next_update()).version == 43
 
-    play(scenario)
+    play_watch(scenario)
 
 
 @pytest.mark.parametrize(
@@ -151,7 +151,7 @@
         await watch.peer.answer(HEAD + chunk(text))
         assert [(await watch.next_update()).version for _ in range(2)] == [42, 43]
 
-    play(scenario)
+    play_watch(scenario)
 
 
 @pytest.mark.parametrize("rest", [b"\n\n", list_line(43), INDENTED, b"]}\n"])
@@ -163,7 +163,7 @@
         assert b"from=42 " in await watch.next_request()
         assert watch.queue.empty()
 
-    play(scenario)
+    play_watch(scenario)
 
 
 @pytest.mark.parametrize(
@@ -190,7 +190,7 @@
         assert b"from=41 " in await watch.next_request()
         assert not watch.updates
 
-    play(scenario)
+    play_watch(scenario)
 
 
 @pytest.mark.parametrize("lifecycle", ["DRAINING", "DELETED"])
@@ -205,7 +205,7 @@
         (endpoint,) = (await watch.next_update()).endpoints
         assert (endpoint.name, endpoint.state) == ("s-1", ENDPOINT_STATES[lifecycle])
 
-    play(scenario)
+    play_watch(scenario)
 
 
 def test_removed_endpoint_needs_no_address() -> None:
@@ -213,7 +213,7 @@
         await watch.peer.answer(HEAD + chunk(list_line(44, lifecycle="DELETED", hostPort="")))
         assert (await watch.next_update()).endpoints[0].state is EndpointState.REMOVED
 
-    play(scenario)
+    play_watch(scenario)
 
 
 @pytest.mark.parametrize(
@@ -242,5 +242,5 @@
             assert [endpoint.name for endpoint in (await watch.next_update()).endpoints] == ["s-1"]
         assert watch.discovery.version == 45
 
-    play(scenario)
+    play_watch(scenario)
     assert capfd.readouterr().err.count("entry that can't be read; skipping it") == 2
--- a/tests/proxy/test_endpoint_lists.py
+++ b/tests/proxy/test_endpoint_lists.py
@@ -14,7 +14,7 @@
 from rushroad.proxy.upstream import Connection, Upstream
 from tests.proxy.test_upstream import FAST, OK, held
 from tests.support.loopback import LOCAL, Heard, Peer, run
-from tests.support.watch import HEAD, LONG_LIST, Watch, chunk, play
+from tests.support.watch import HEAD, LONG_LIST, Watch, chunk, play_watch
 
 
 @pytest.fixture(autouse=True)
@@ -157,6 +157,6 @@
             sender.upstream.close()
 
     monkeypatch.setattr(Connection, "carry", record_late)
-    play(scenario)
+    play_watch(scenario)
     assert len(removed) == removed_count
     assert not sent_late
--- a/tests/support/watch.py
+++ b/tests/support/watch.py
@@ -107,7 +107,9 @@
         return [endpoint.name for update in self.updates for endpoint in update.endpoints]
 
 
-def play(scenario: Callable[[Watch], Awaitable[None]], memory_limit: int = DEFAULT_MEMORY_LIMIT) -> None:
+def play_watch(
+    scenario: Callable[[Watch], Awaitable[None]], memory_limit: int = DEFAULT_MEMORY_LIMIT
+) -> None:
     """Play a scenario on a new watch."""
 
     async def start() -> None:
