--- a/rushroad/proxy/garbage_collection.py
+++ b/rushroad/proxy/garbage_collection.py
@@ -9,7 +9,7 @@
 
 
 class EndpointFreezer:
-    """Freezes what is held of endpoints, so that collections do not visit it again and again.
+    """Freezes the objects kept for endpoints, so that collections do not visit them again and again.
 
     Garbage in reference cycles that waits for a collection at that moment is never freed: little, and seldom.
     """
--- a/tests/proxy/test_garbage_collection.py
+++ b/tests/proxy/test_garbage_collection.py
@@ -1,4 +1,4 @@
-"""Garbage collections leave out what is held of endpoints."""
+"""Garbage collections leave out the objects kept for endpoints."""
 
 import asyncio
 import gc
