--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -11,7 +11,7 @@
 from rushroad.proxy import discovery as discovery_module
 from rushroad.proxy.discovery import Discovery
 from tests.support.loopback import LOCAL, NAMES, DelayedConnectLoop, Peer, run
-from tests.support.watch import HEAD, LONG_LIST_VERSION, Watch, chunk, list_line, long_list, play
+from tests.support.watch import HEAD, LONG_LIST_VERSION, Watch, chunk, list_line, long_list, play_watch
 
 pytestmark = pytest.mark.usefixtures("fresh_log")
 
@@ -25,7 +25,7 @@
         assert b"from=77 " in await watch.peer.answer(HEAD + chunk(list_line(90, reset=True)))
         assert (await watch.next_update()).kind is UpdateKind.SNAPSHOT
 
-    play(scenario)
+    play_watch(scenario)
 
 
 @pytest.mark.parametrize(
@@ -48,7 +48,7 @@
         assert b"from=41 " in await watch.next_request()
         assert not watch.updates
 
-    play(scenario)
+    play_watch(scenario)
     line = "rushroad: discovery sent a watch response that can't be read; closing it and opening another: "
     assert capfd.readouterr().err.count(line) == logged
 
@@ -74,7 +74,7 @@
         await watch.peer.hear()
 
     monkeypatch.setattr("rushroad.proxy.discovery.asyncio.sleep", record_pause)
-    play(scenario)
+    play_watch(scenario)
     first, longest = discovery_module.FIRST_RECONNECT_PAUSE, discovery_module.MAX_RECONNECT_PAUSE
     expected = [min(longest, first * 2**n) for n in range(8)] + [first]
     assert all(limit / 2 <= pause <= limit for pause, limit in zip(pauses, expected, strict=True))
@@ -99,7 +99,7 @@
     # Over two heartbeats, with time to open another watch before an update counts as notified.
     assert 2 * 2.0 < discovery_module.SILENCE_TIMEOUT < 6.0 - 1.0
     monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT", 0.05)
-    play(scenario)
+    play_watch(scenario)
 
 
 def test_unanswered_watch_stays_open_beside_the_next_and_either_may_be_answered() -> None:
@@ -117,7 +117,7 @@
 
     # The shortest drain grace that the settings have had.
     assert discovery_module.RESPONSE_TIMEOUT + discovery_module.MAX_RECONNECT_PAUSE <= 0.5
-    play(scenario)
+    play_watch(scenario)
 
 
 def test_pending_watches_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -133,7 +133,7 @@
             opened, closed = opened + (heard != b""), closed + (heard == b"")
             assert len(watch.discovery._pending) <= limit
 
-    play(scenario)
+    play_watch(scenario)
 
 
 def test_watch_with_a_response_head_but_no_body_is_not_established() -> None:
@@ -142,7 +142,7 @@
         assert b"from=41 " in await watch.next_request()
         assert watch.discovery._watch is None
 
-    play(scenario)
+    play_watch(scenario)
 
 
 @pytest.mark.parametrize("end", [b"zz\r\n", b"", chunk(b"\n\n"), chunk(list_line(51))])
@@ -159,7 +159,7 @@
         assert not any(update.last for update in watch.updates)
         assert watch.discovery.version == 41
 
-    play(scenario)
+    play_watch(scenario)
 
 
 def test_older_version_never_undoes_a_newer_one(capfd: pytest.CaptureFixture[str]) -> None:
@@ -174,7 +174,7 @@
             assert watch.discovery.version == 46
             watch.discovery.close()
 
-    play(scenario)
+    play_watch(scenario)
     line = "rushroad: discovery sent endpoint list version 44, older than 45; keeping the newer one\n"
     assert capfd.readouterr().err == 2 * line
 
@@ -186,7 +186,7 @@
         await watch.until_version(61)
         assert [update.version for update in watch.updates] == [60, 61]
 
-    play(scenario)
+    play_watch(scenario)
 
 
 def test_drains_of_a_list_that_broke_off_are_not_undone_by_an_older_list() -> None:
@@ -210,7 +210,7 @@
             [("s-1", EndpointState.READY)],
         ]
 
-    play(scenario)
+    play_watch(scenario)
 
 
 def test_connect_that_completes_after_a_move_sends_no_request() -> None:
@@ -245,7 +245,7 @@
             assert len(other.writers) == 1
             watch.discovery.close()
 
-    play(scenario)
+    play_watch(scenario)
 
 
 def test_old_watch_is_read_until_the_new_address_answers(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -260,4 +260,4 @@
         watch.discovery.move((LOCAL, watch.peer.port))
         assert b"from=78 " in await watch.peer.answer(HEAD)
 
-    play(scenario)
+    play_watch(scenario)
--- a/tests/proxy/test_endpoint_lists.py
+++ b/tests/proxy/test_endpoint_lists.py
@@ -15,7 +15,7 @@
 from rushroad.proxy.upstream_connection import UpstreamConnection
 from tests.support.attempts import FAST, OK, request_in_flight
 from tests.support.loopback import LOCAL, Peer, RecordingEngine, run
-from tests.support.watch import HEAD, LONG_LIST, Watch, chunk, play
+from tests.support.watch import HEAD, LONG_LIST, Watch, chunk, play_watch
 
 pytestmark = pytest.mark.usefixtures("no_settle_time")
 
@@ -155,6 +155,6 @@
             sender.upstream.close()
 
     monkeypatch.setattr(UpstreamConnection, "send", record_late)
-    play(scenario)
+    play_watch(scenario)
     assert len(removed) == removed_count
     assert not sent_late
