--- a/rushroad/policy/settings_reader.py
+++ b/rushroad/policy/settings_reader.py
@@ -29,7 +29,11 @@
     "by_key": Idempotency.IDEMPOTENCY_KEY,
     "once": Idempotency.NOT_IDEMPOTENT,
 }
-SCOPE_BY_GROUP = {scope.value: scope for scope in DeduplicationScope}
+SCOPE_BY_GROUP = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
 WEIGHTS_IN_USE = ("nominal", "rough")
 
 
@@ -134,7 +138,7 @@
         deadline=section.required("giveUpUs"),
         priority_weight=section.required("gain"),
         late_weight=section.optional("lateWorth", 0.0),
-        deduplication_scope=section.term("group", SCOPE_BY_GROUP, DeduplicationScope.ALL.value),
+        deduplication_scope=section.term("group", SCOPE_BY_GROUP, "all"),
         deduplication_window=section.optional("windowUs", 0),
         streamed=section.optional("streamed", False),
     )
--- a/rushroad/simulator/event_records.py
+++ b/rushroad/simulator/event_records.py
@@ -91,22 +91,7 @@
 
 Record: TypeAlias = InstanceEvent | Discovery | EndpointList | Boot | Teardown
 
-_CODE = struct.Struct("<H")
-_COUNT = struct.Struct("<B")
-_LOAD_REPORTS = tuple(struct.Struct(f"<{count}f") for count in range(5))
 _BOOT = struct.Struct("<IQI")
-_TEARDOWN = struct.Struct("<I")
-_ROSTER = struct.Struct("<HI")
-_ROSTER_ENTRY = struct.Struct("<HBHB6sQf")
-_DISCOVERY = struct.Struct("<IHBQ")
-_SUBMIT = struct.Struct("<IIfffIIBBQ")
-_ESTABLISHED = struct.Struct("<III6sH")
-_COMPLETED = struct.Struct("<IIH6sHIBHH")
-_EXPIRED = struct.Struct("<II")
-_BELL = struct.Struct("<II")
-_HEALTH = struct.Struct("<II6sH")
-_NEIGHBOUR_SAYS = struct.Struct("<IHH")
-_COUNTER_REPLY = struct.Struct("<IHIfQ")
 
 
 def _read_boot(reader: Reader) -> Boot:
@@ -114,16 +99,25 @@
     return Boot(instance, seed, reader.take_bytes(length))
 
 
+_TEARDOWN = struct.Struct("<I")
+
+
 def _read_teardown(reader: Reader) -> Teardown:
     (instance,) = reader.take(_TEARDOWN)
     return Teardown(instance)
 
 
+_ROSTER = struct.Struct("<HI")
+
+
 def _read_roster(reader: Reader) -> EndpointList:
     number, count = reader.take(_ROSTER)
     return EndpointList(number, tuple([_read_roster_entry(reader) for _ in range(count)]))
 
 
+_ROSTER_ENTRY = struct.Struct("<HBHB6sQf")
+
+
 def _read_roster_entry(reader: Reader) -> Endpoint:
     endpoint_class, zone, cell, state, address, started_at, weight = reader.take(_ROSTER_ENTRY)
     if state not in (EndpointState.REMOVED, EndpointState.READY, EndpointState.DRAINING):
@@ -132,6 +126,9 @@
     return Endpoint(name, EndpointState(state), endpoint_class, zone, cell, started_at, weight)
 
 
+_DISCOVERY = struct.Struct("<IHBQ")
+
+
 def _read_discovery(reader: Reader) -> Discovery:
     instance, list_number, kind, version = reader.take(_DISCOVERY)
     if kind > UpdateKind.FAILED:
@@ -139,6 +136,9 @@
     return Discovery(instance, UpdateKind(kind), version, list_number)
 
 
+_SUBMIT = struct.Struct("<IIfffIIBBQ")
+
+
 def _read_submit(reader: Reader) -> InstanceEvent:
     (
         instance,
@@ -168,15 +168,29 @@
     )
 
 
+_ESTABLISHED = struct.Struct("<III6sH")
+
+
 def _read_established(reader: Reader) -> InstanceEvent:
     instance, request_id, elapsed, address, attempt = reader.take(_ESTABLISHED)
     return InstanceEvent(instance, ResponseStarted(request_id, attempt, endpoint_name(address), elapsed))
 
 
+_COMPLETED = struct.Struct("<IIH6sHIBHH")
+
+
 def _read_completed(reader: Reader) -> InstanceEvent:
-    instance, request_id, attempt, address, status, elapsed, final, use, actual_units = reader.take(
-        _COMPLETED
-    )
+    (
+        instance,
+        request_id,
+        attempt,
+        address,
+        status,
+        elapsed,
+        final,
+        use,  # 0 for none, or 1 + percent
+        actual_units,  # 0 for none
+    ) = reader.take(_COMPLETED)
     return InstanceEvent(
         instance,
         AttemptOutcome(
@@ -193,32 +207,51 @@
     )
 
 
+_EXPIRED = struct.Struct("<II")
+
+
 def _read_expired(reader: Reader) -> InstanceEvent:
     instance, request_id = reader.take(_EXPIRED)
     return InstanceEvent(instance, ClientDisconnected(request_id))
 
 
+_BELL = struct.Struct("<II")
+
+
 def _read_bell(reader: Reader) -> InstanceEvent:
     instance, token = reader.take(_BELL)
     return InstanceEvent(instance, TimerFired(token))
 
 
+_HEALTH = struct.Struct("<II6sH")
+
+
 def _read_health(reader: Reader) -> InstanceEvent:
     instance, elapsed, address, status = reader.take(_HEALTH)
     name, result = endpoint_name(address), result_of(status)
     return InstanceEvent(instance, HealthCheckReply(name, result, elapsed, _read_load_report(reader)))
 
 
+_NEIGHBOUR_SAYS = struct.Struct("<IHH")
+
+
 def _read_neighbour_says(reader: Reader) -> InstanceEvent:
     instance, sender, length = reader.take(_NEIGHBOUR_SAYS)
     return InstanceEvent(instance, PeerMessage(sender, reader.take_bytes(length)))
 
 
+_COUNTER_REPLY = struct.Struct("<IHIfQ")
+
+
 def _read_counter_reply(reader: Reader) -> InstanceEvent:
     instance, status, elapsed, total, name = reader.take(_COUNTER_REPLY)
     return InstanceEvent(instance, CounterReply(name, result_of(status), elapsed, total))
 
 
+_COUNT = struct.Struct("<B")
+_LOAD_REPORTS = tuple(struct.Struct(f"<{count}f") for count in range(5))
+
+
 def _read_load_report(reader: Reader) -> tuple[float, ...]:
     (count,) = reader.take(_COUNT)
     if not count:
@@ -241,6 +274,8 @@
     EventCode.COMPLETED: _read_completed,
 }
 
+_CODE = struct.Struct("<H")
+
 
 def read_record(reader: Reader) -> Record:
     """The next event record; raises WireError where it is malformed."""
