--- a/rushroad/proxy/configuration.py
+++ b/rushroad/proxy/configuration.py
@@ -18,7 +18,6 @@
 from rushroad.proxy.endpoint_decoder import (
     UNEXPECTED_JSON_ERRORS,
     EndpointDecoder,
-    MalformedEndpointListError,
 )
 from rushroad.proxy.json_splitter import JsonSplitter
 from rushroad.proxy.nonblocking_log import log
@@ -130,7 +129,7 @@
                     on_update(part.update, part.listed)
                     version = part.update.version if part.ends_list else version
                 await asyncio.sleep(0)  # the policy takes the part in
-    except MalformedEndpointListError as error:
+    except UNEXPECTED_JSON_ERRORS as error:
         log(f"the cached endpoint list can't be read; waiting for discovery to send one: {error!r}")
     return version
 
--- a/rushroad/proxy/discovery.py
+++ b/rushroad/proxy/discovery.py
@@ -16,6 +16,7 @@
 from rushroad.proxy.backoff import Backoff
 from rushroad.proxy.endpoint_decoder import (
     DEFAULT_MEMORY_LIMIT,
+    UNEXPECTED_JSON_ERRORS,
     EndpointDecoder,
     ListedEndpoint,
     ListPart,
@@ -108,11 +109,11 @@
             return
         try:
             part = self._next_part()
-        except (RecursionError, MalformedEndpointListError) as error:
+            if part is not None:
+                self._discovery.receive_part(part)
+        except (RecursionError, *UNEXPECTED_JSON_ERRORS) as error:
             self._fail(error)
             return
-        if part is not None:
-            self._discovery.receive_part(part)
         if (
             not self._established
             and self._received_data
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -121,8 +121,8 @@
         attempt: Attempt,
         result: Result,
         value: bytes = b"",
-        load: tuple[float, ...] = (),
-        true_units: float | None = None,
+        load_report: tuple[float, ...] = (),
+        actual_units: float | None = None,
     ) -> None:
         """Take an attempt's outcome; the first response goes to the client, and its actual units count."""
         if attempt.finished:
@@ -137,9 +137,9 @@
         self._release_call_id(attempt.in_flight)
         elapsed = self.clock.now() - attempt.started_at
         final = attempt.in_flight.finished
-        units = true_units if first_response else None
+        units = actual_units if first_response else None
         ids = (attempt.request_id, attempt.number, attempt.endpoint)
-        self.post(AttemptOutcome(*ids, result, elapsed, final, actual_units=units, load_report=load))
+        self.post(AttemptOutcome(*ids, result, elapsed, final, actual_units=units, load_report=load_report))
 
     def answer_all(self) -> None:
         """Answer all requests in flight now, as the process ends: rejected where nothing was forwarded."""
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -7,9 +7,10 @@
 
 import pytest
 
-from rushroad.policy.events import EndpointState, UpdateKind
+from rushroad.policy.events import EndpointState, EndpointUpdate, UpdateKind
 from rushroad.proxy import discovery as discovery_module
 from rushroad.proxy.discovery import Discovery
+from rushroad.proxy.endpoint_decoder import ListedEndpoint
 from tests.support.loopback import LOCAL, NAMES, DelayedConnectLoop, Peer, run
 from tests.support.watch import HEAD, LONG_LIST_VERSION, Watch, chunk, list_line, long_list, play_watch
 
@@ -53,6 +54,21 @@
     assert capfd.readouterr().err.count(line) == logged
 
 
+def test_update_that_its_handler_fails_on_is_followed_by_another_watch() -> None:
+    async def scenario(watch: Watch) -> None:
+        def fail(update: EndpointUpdate, _: list[ListedEndpoint]) -> None:
+            watch.discovery._on_update = watch.on_update
+            raise KeyError(update.version)
+
+        watch.discovery._on_update = fail
+        await watch.peer.answer(HEAD + chunk(list_line(42)))
+        await watch.next_request()
+        watch.peer.writers[-1].write(HEAD + chunk(list_line(43)))
+        await watch.until_version(43)
+
+    play_watch(scenario)
+
+
 def test_failing_watches_back_off_until_one_receives_a_list(monkeypatch: pytest.MonkeyPatch) -> None:
     # A fleet whose watches all fail must not ask discovery again at once, all together.
     pauses: list[float] = []
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -102,11 +102,11 @@
         attempt: Attempt,
         result: Result,
         value: bytes = b"",
-        load: tuple[float, ...] = (),
-        true_units: float | None = None,
+        load_report: tuple[float, ...] = (),
+        actual_units: float | None = None,
     ) -> None:
-        self.actual_units.append(true_units)
-        self.ended.put_nowait((attempt.request_id, result, value, load))
+        self.actual_units.append(actual_units)
+        self.ended.put_nowait((attempt.request_id, result, value, load_report))
 
     def submit(self, call: Any) -> int:
         if call.id in self.ids_in_flight:
