--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -54,14 +54,21 @@
     assert capfd.readouterr().err.count(line) == logged
 
 
-def test_update_that_its_handler_fails_on_is_followed_by_another_watch() -> None:
+def test_update_that_its_handler_fails_on_is_followed_by_another_watch(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT", 60.0)
+
     async def scenario(watch: Watch) -> None:
-        def fail(update: EndpointUpdate, _: list[ListedEndpoint]) -> None:
+        def fail_on_a_later_part(update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
+            if update.first:
+                watch.on_update(update, listed)
+                return
             watch.discovery._on_update = watch.on_update
             raise KeyError(update.version)
 
-        watch.discovery._on_update = fail
-        await watch.peer.answer(HEAD + chunk(list_line(42)))
+        watch.discovery._on_update = fail_on_a_later_part
+        await watch.peer.answer(HEAD + chunk(long_list()))
         await watch.next_request()
         watch.peer.writers[-1].write(HEAD + chunk(list_line(43)))
         await watch.until_version(43)
