--- a/rushroad/policy/active_endpoints.py
+++ b/rushroad/policy/active_endpoints.py
@@ -19,8 +19,8 @@
 
 COUNT_INTERVAL = SECOND  # microseconds between counts of the warm endpoints
 REVIEW_PART = 1_000  # entries of the list reviewed at once: some milliseconds
-MIN_GOOD = 0.5  # of the subset's usual size; with fewer good endpoints some are borrowed
-MAX_ACTIVE = 2.0  # times the subset's usual size
+MIN_GOOD = 0.5  # of the subset's expected size; with fewer good endpoints some are borrowed
+MAX_ACTIVE = 2.0  # times the subset's expected size
 
 
 class EndpointClass:
@@ -165,8 +165,8 @@
         self._count_warm(now)
         if self._table.mean_replicas >= self._fleet_size:
             return False
-        usual = self._table.expected_subset_size()
-        if self._warm - suspects >= MIN_GOOD * usual or len(self.ready) >= MAX_ACTIVE * usual:
+        expected_size = self._table.expected_subset_size()
+        if self._warm - suspects >= MIN_GOOD * expected_size or len(self.ready) >= MAX_ACTIVE * expected_size:
             return False
         entry = self._table.draw(lambda each: self._can_be_borrowed(each, now), self._random)
         if entry is None:
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -62,7 +62,7 @@
         """Decide on a request of a plan with a rate, or call the counter for its total."""
         if self._counter is None:
             return self.decide_by_estimate(pending, now)
-        if self._has_no_room(pending, now):
+        if self._is_known_over_quota(pending, now):
             # Its units would only be taken back, and retries would overload the counter.
             return Admission.REJECT_OVER_QUOTA
         if self._breaker.is_open:
@@ -98,7 +98,7 @@
         used = (pending.tenant.usage.used + pending.request.units) / pending.plan.burst
         return share * (used / FULL_SHARE_USE) ** 2
 
-    def _has_no_room(self, pending: PendingRequest, now: int) -> bool:
+    def _is_known_over_quota(self, pending: PendingRequest, now: int) -> bool:
         """Whether that is known before any call. What may just fit is for a total to say, if there is one."""
         usage = pending.tenant.usage
         if not self._breaker.is_overloaded:
@@ -207,7 +207,7 @@
             usage.unreported += units * pending.counted_units / pending.request.units
 
     def retry_after(self, pending: PendingRequest) -> int:
-        """Return the microseconds until the request may fit, at most a window: never 0 units' refill."""
+        """Return the microseconds until the request may fit: at least one unit's refill, at most a window."""
         plan, limit = pending.plan, self._settings.limits.max_retry_after
         if plan.rate <= 0:
             return min(limit, pending.request_class.latency_objective)
