--- a/tests/support/faults.c
+++ b/tests/support/faults.c
@@ -1,8 +1,9 @@
-/* A library for LD_PRELOAD that lets system calls of one gateway fail, and moves its wall clock.
+/* A library for LD_PRELOAD that makes system calls of one gateway fail, and moves its wall clock.
 
-   FAULTS: rules with commas between them, each `CALL:ERRNO:FIRST:LAST:EVERY`: of the calls numbered FIRST to
-   LAST, from 1, every EVERY-th fails with this error number. Only calls on IPv4 sockets count; `open` counts
-   files for reading whose name ends in FAULTS_FILE, `epoll_wait` all waits. accept counts connections that are there.
+   FAULTS: rules separated by commas, each `CALL:ERRNO:FIRST:LAST:EVERY`: of the calls numbered FIRST to LAST,
+   from 1, every EVERY-th fails with this error number. Only calls on IPv4 sockets count, with three exceptions:
+   `open` counts files for reading whose name ends in FAULTS_FILE, `epoll_wait` and `poll` count all waits, and
+   `accept` counts only where a connection is waiting.
    FAULTS_AT: the rules hold only while this file exists.
    CLOCK_STEP: seconds by which CLOCK_REALTIME is moved. */
 #define _GNU_SOURCE
@@ -23,25 +24,26 @@
 #define MAX_RULES 32
 
 static struct rule { char call[16]; unsigned error, first, last, every, seen; } rules[MAX_RULES];
-static unsigned count;
+static unsigned rule_count;
 
 __attribute__((constructor)) static void read_rules(void) {
-  const char *at = getenv("FAULTS");
-  for (; at && *at && count < MAX_RULES; at = strchr(at, ',') ? strchr(at, ',') + 1 : "") {
-    struct rule *r = &rules[count];
-    if (sscanf(at, "%15[^:]:%u:%u:%u:%u", r->call, &r->error, &r->first, &r->last, &r->every) == 5) count++;
+  const char *text = getenv("FAULTS");
+  for (; text && *text && rule_count < MAX_RULES; text = strchr(text, ',') ? strchr(text, ',') + 1 : "") {
+    struct rule *rule = &rules[rule_count];
+    if (sscanf(text, "%15[^:]:%u:%u:%u:%u", rule->call, &rule->error, &rule->first, &rule->last, &rule->every) == 5)
+      rule_count++;
     else abort();
   }
 }
 
 static int fails(const char *call) {
-  const char *switched = getenv("FAULTS_AT");
-  if (switched && access(switched, F_OK)) return 0;
-  for (unsigned i = 0; i < count; i++)
-    if (!strcmp(rules[i].call, call)) {
-      unsigned n = ++rules[i].seen;
-      if (n >= rules[i].first && n <= rules[i].last && (n - rules[i].first) % rules[i].every == 0) {
-        errno = (int)rules[i].error;
+  const char *switch_file = getenv("FAULTS_AT");
+  if (switch_file && access(switch_file, F_OK)) return 0;
+  for (struct rule *rule = rules; rule < rules + rule_count; rule++)
+    if (!strcmp(rule->call, call)) {
+      unsigned number = ++rule->seen;
+      if (number >= rule->first && number <= rule->last && (number - rule->first) % rule->every == 0) {
+        errno = (int)rule->error;
         return 1;
       }
     }
@@ -51,7 +53,7 @@
 static int is_inet(int fd) {
   int domain = 0;
   socklen_t size = sizeof domain;
-  int before = errno, got = count ? REAL(getsockopt)(fd, SOL_SOCKET, SO_DOMAIN, &domain, &size) : -1;
+  int before = errno, got = rule_count ? REAL(getsockopt)(fd, SOL_SOCKET, SO_DOMAIN, &domain, &size) : -1;
   errno = before;
   return got == 0 && domain == AF_INET;
 }
@@ -64,7 +66,7 @@
 int connect(int fd, const struct sockaddr *a, socklen_t l) { return is_inet(fd) && fails("connect") ? -1 : REAL(connect)(fd, a, l); }
 int accept4(int fd, struct sockaddr *a, socklen_t *l, int flags) {
   struct pollfd p = {fd, POLLIN, 0};
-  if (count && REAL(poll)(&p, 1, 0) == 1 && fails("accept")) return -1;
+  if (rule_count && REAL(poll)(&p, 1, 0) == 1 && fails("accept")) return -1;
   return REAL(accept4)(fd, a, l, flags);
 }
 int accept(int fd, struct sockaddr *a, socklen_t *l) { return accept4(fd, a, l, 0); }
@@ -80,7 +82,7 @@
 ssize_t writev(int fd, const struct iovec *v, int n) { return is_inet(fd) && fails("write") ? -1 : REAL(writev)(fd, v, n); }
 ssize_t send(int fd, const void *b, size_t n, int f) { return is_inet(fd) && fails("write") ? -1 : REAL(send)(fd, b, n, f); }
 ssize_t sendmsg(int fd, const struct msghdr *m, int f) { return is_inet(fd) && fails("write") ? -1 : REAL(sendmsg)(fd, m, f); }
-/* Only the adding of a descriptor takes memory. */
+/* Only adding a descriptor takes memory. */
 int epoll_ctl(int e, int op, int fd, struct epoll_event *v) {
   return op == EPOLL_CTL_ADD && is_inet(fd) && fails("epoll_ctl") ? -1 : REAL(epoll_ctl)(e, op, fd, v);
 }
