--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -27,7 +27,12 @@
 from rushroad.proxy.garbage_collection import EndpointFreezer, freeze_startup_objects
 from rushroad.proxy.nonblocking_log import log
 from rushroad.proxy.shutdown import shut_down, termination_event
-from rushroad.proxy.transient_errors import AGAIN, START_RETRY_TIME, TRANSIENT_ERRORS, retry_transient
+from rushroad.proxy.transient_errors import (
+    RETRY_INTERVAL,
+    START_RETRY_TIME,
+    TRANSIENT_ERRORS,
+    retry_transient,
+)
 from rushroad.proxy.upstream import Upstream
 
 FIRST_UPDATE_TIMEOUT = 0.3  # seconds that a start waits for discovery before it uses the cached endpoint list
@@ -74,12 +79,8 @@
     )
     engine.backend = upstream
     counter = _connect_counter(configuration, engine, loop)
-    listener = ClientListener(
-        engine,
-        CommandSchema.from_settings(settings, proxy_settings),
-        configuration.max_client_connections,
-        loop,
-    )
+    schema = CommandSchema.from_settings(settings, proxy_settings)
+    listener = ClientListener(engine, schema, configuration.max_client_connections, loop)
 
     apply_update = _update_handler(engine, upstream, loop)
     version = await retry_transient(lambda: read_cached_endpoints(proxy_settings, memory_limit, apply_update))
@@ -107,7 +108,7 @@
         except OSError as error:
             if error.errno not in TRANSIENT_ERRORS or time.monotonic() > retry_until:
                 raise
-        time.sleep(AGAIN)
+        time.sleep(RETRY_INTERVAL)
 
 
 def main() -> int:
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -21,7 +21,7 @@
 
 
 def test_overloaded_endpoint_gets_fewer_attempts() -> None:
-    """Attempts abandoned go on waiting at a endpoint that does not answer: they count as held by it."""
+    """Attempts abandoned go on waiting at an endpoint that does not respond: they count as in flight."""
     driver = Driver(replace(SETTINGS, limits=Limits(max_attempts=1)), endpoint_count=2)
     stuck = ready_endpoint(1).name
     for n in range(200):
@@ -68,7 +68,7 @@
             driver.request(tenant=1000 * second + tenant)
             while driver.counter_calls:
                 reply_after(driver, 1.0)
-        driver.wait(900 * MS)  # nine tenths of the aim
+        driver.wait(900 * MS)  # nine tenths of the latency objective
         driver.finish_all()
         driver.wait(100 * MS)
         sent.append(action_names(driver.actions).count("StartAttempt") - before)
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -38,9 +38,9 @@
 from rushroad.proxy.engine import NETWORK_ALLOWANCE, Engine
 from rushroad.proxy.in_flight import Call
 from rushroad.proxy.upstream import Upstream
-from tests.proxy.test_upstream import LONG, OK, at
+from tests.support.attempts import LONG, OK, endpoint_at
 from tests.support.gateway_driver import SETTINGS
-from tests.support.loopback import LOCAL, SCHEMA, Late, Peer, call, resp, run
+from tests.support.loopback import LOCAL, SCHEMA, DelayedConnectLoop, Peer, call, resp, run
 from tests.support.scripted_policy import Script, ScriptedPolicy, install_policy
 
 
@@ -81,7 +81,7 @@
             engine = Engine(SETTINGS, 1, loop)
             async with Peer() as endpoint:
                 upstream = engine.backend = Upstream(engine, SETTINGS, 15_000_000, 8, loop)
-                upstream.update_endpoints(at(endpoint.port), True)
+                upstream.update_endpoints(endpoint_at(endpoint.port), True)
                 engine.counter = InstantCounter(engine)
                 listener = ClientListener(engine, SCHEMA, 8, loop)
                 await listener.listen(LOCAL, 0)
@@ -256,7 +256,7 @@
 
     async def scenario(gateway: EngineSide) -> None:
         assert isinstance(gateway.engine.backend, Upstream)
-        late = Late()
+        late = DelayedConnectLoop()
         gateway.engine.backend.loop = typing.cast(asyncio.AbstractEventLoop, late)
         gateway.writer.write(call(1))
         await late.asked.wait()
--- a/tests/support/client_side.py
+++ b/tests/support/client_side.py
@@ -7,7 +7,7 @@
 from rushroad.proxy.client_listener import ClientListener
 from rushroad.proxy.connection_table import ConnectionTable
 from rushroad.proxy.engine import Engine
-from tests.support.loopback import LOCAL, SCHEMA, Heard, resp, run
+from tests.support.loopback import LOCAL, SCHEMA, RecordingEngine, resp, run
 
 PING, PONG = resp(b"PING"), b"+PONG\r\n"
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -17,7 +17,7 @@
     """A listener with its connections, and the engine behind it."""
 
     def __init__(self, max_connections: int = 8, loop: asyncio.AbstractEventLoop | None = None) -> None:
-        self.engine = Heard()
+        self.engine = RecordingEngine()
         loop = loop or asyncio.get_running_loop()
         self.listener = ClientListener(cast(Engine, self.engine), SCHEMA, max_connections, loop)
 
