--- a/rushroad/policy/concurrency_limit.py
+++ b/rushroad/policy/concurrency_limit.py
@@ -36,37 +36,33 @@
 class EndpointConcurrency:
     """This gateway's attempts at one endpoint, and its limit there. Times are in microseconds."""
 
-    __slots__ = ("_abandoned", "in_flight", "limit")
+    __slots__ = ("abandoned", "in_flight", "limit")
 
     def __init__(self, limit: ConcurrencyLimit) -> None:
         self.limit = limit
         self.in_flight: dict[AttemptKey, int] = {}  # when they were started, the oldest first
-        self._abandoned: list[int] = []  # when attempts were started that were given up
-
-    def oldest_started_at(self, default: int) -> int:
-        """Return when the oldest attempt in flight was started."""
-        return next(iter(self.in_flight.values()), default)
+        self.abandoned: list[int] = []  # when attempts were started that were given up
 
     def count(self, abandoned_since: int) -> int:
         """Count attempts in flight and those that were abandoned but may still be at the endpoint."""
         in_flight = len(self.in_flight)
-        if self._abandoned:
-            in_flight += sum(started_at > abandoned_since for started_at in self._abandoned)
+        if self.abandoned:
+            in_flight += sum(started_at > abandoned_since for started_at in self.abandoned)
         return in_flight
 
     def abandon(self, started_at: int, abandoned_since: int) -> None:
         """Remember an attempt that was given up."""
-        recent = [at for at in self._abandoned if at > abandoned_since]
-        self._abandoned = [*recent, started_at]
+        recent = [at for at in self.abandoned if at > abandoned_since]
+        self.abandoned = [*recent, started_at]
 
     def responded(self, started_at: int) -> None:
         """Forget abandoned attempts that were started before one that has been responded to."""
-        if self._abandoned:
-            self._abandoned = [at for at in self._abandoned if at > started_at]
+        if self.abandoned:
+            self.abandoned = [at for at in self.abandoned if at > started_at]
 
     def forget_abandoned(self) -> None:
         """Forget all abandoned attempts, as after a restart of the endpoint."""
-        self._abandoned = []
+        self.abandoned = []
 
 
 class ConcurrencyLimiter:
--- a/rushroad/policy/load_balancer.py
+++ b/rushroad/policy/load_balancer.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from rushroad.policy.active_endpoints import ActiveEndpoints
-from rushroad.policy.concurrency_limit import ConcurrencyLimiter
+from rushroad.policy.concurrency_limit import ConcurrencyLimiter, EndpointConcurrency
 from rushroad.policy.durations import SECOND
 from rushroad.policy.events import Endpoint
 from rushroad.policy.outlier_detection import OutlierDetector
@@ -75,14 +75,17 @@
         return best
 
     def _is_allowed(self, pending: PendingRequest, endpoint: ActiveEndpoint, now: int) -> bool:
-        if self._limiter.pooled is None:
-            concurrency = endpoint.concurrency
-            if concurrency.count(self._limiter.abandoned_since(now)) >= concurrency.limit.attempts:
-                return False
+        if self._limiter.pooled is None and self._is_at_its_limit(endpoint.concurrency, now):
+            return False
         if pending.possible_executions and not self._retry_policy.allows(pending, endpoint.entry, now):
             return False
         return not self._slow_start.is_warming_up(endpoint.entry, now) or self._may_warm_up(endpoint, now)
 
+    def _is_at_its_limit(self, concurrency: EndpointConcurrency, now: int) -> bool:
+        if not concurrency.abandoned:
+            return len(concurrency.in_flight) >= concurrency.limit.attempts
+        return concurrency.count(self._limiter.abandoned_since(now)) >= concurrency.limit.attempts
+
     def _may_warm_up(self, endpoint: ActiveEndpoint, now: int) -> bool:
         if endpoint.borrowed:
             return False
--- a/rushroad/policy/load_shedding.py
+++ b/rushroad/policy/load_shedding.py
@@ -65,11 +65,21 @@
             self.accrue(now)
             spent = self._in_flight * (self._latency.highest() or COUNTER_WAIT * self._longest_objective)
             return self._credit > spent + RESERVE * deficit * self._longest_objective
-        # What an endpoint holds beyond its limit, all abandoned perhaps, takes no capacity at the others.
+        return self._is_below_limits(endpoints, now)
+
+    def _is_below_limits(self, endpoints: Sequence[ActiveEndpoint], now: int) -> bool:
+        """Whether fewer attempts are in flight than the limits of all endpoints allow together."""
         abandoned_since = self._limiter.abandoned_since(now)
-        concurrency = [endpoint.concurrency for endpoint in endpoints]
-        in_use = sum(min(each.count(abandoned_since), each.limit.attempts) for each in concurrency)
-        limit = sum(each.limit.attempts for each in concurrency)
+        in_use = limit = 0.0
+        for endpoint in endpoints:
+            concurrency = endpoint.concurrency
+            endpoint_limit = concurrency.limit.attempts
+            count = (
+                concurrency.count(abandoned_since) if concurrency.abandoned else len(concurrency.in_flight)
+            )
+            # What an endpoint holds beyond its limit, all abandoned perhaps, takes no capacity at the others.
+            in_use += count if count < endpoint_limit else endpoint_limit
+            limit += endpoint_limit
         return limit > 0 and in_use < max(1.0, limit)
 
     def accrue(self, now: int) -> None:
--- a/rushroad/policy/outlier_detection.py
+++ b/rushroad/policy/outlier_detection.py
@@ -52,13 +52,16 @@
     def suspects(self, endpoints: Sequence[ActiveEndpoint], now: int) -> list[ActiveEndpoint]:
         """Return the endpoints that are ejected, or silent for so long that they are about to be."""
         max_silence = SUSPECT_RESPONSES * self._typical_latency()
-        return [
-            endpoint
-            for endpoint in endpoints
-            if endpoint.outlier.ejected
-            or now - max(endpoint.concurrency.oldest_started_at(now), endpoint.outlier.responded_at)
-            > max_silence
-        ]
+        suspects = []
+        for endpoint in endpoints:
+            state, in_flight = endpoint.outlier, endpoint.concurrency.in_flight
+            if state.ejected:
+                suspects.append(endpoint)
+            elif in_flight:  # it owes a response since its last one, or since the oldest attempt
+                oldest_started_at = next(iter(in_flight.values()))
+                if now - max(oldest_started_at, state.responded_at) > max_silence:
+                    suspects.append(endpoint)
+        return suspects
 
     def ejected_among(self, suspects: list[ActiveEndpoint], endpoint_count: int) -> set[str]:
         """Return the names of the suspects that are to be avoided, the worst first if there are many."""
--- a/tests/integration/soak.py
+++ b/tests/integration/soak.py
@@ -191,7 +191,7 @@
             answer = await connection.answer()
             request.previous_answered_at, answered_at = answered_at, loop.time()
             if not answer:
-                crossing = answered_at - request.sent_at < CROSSING + cluster.machine()
+                crossing = answered_at - request.sent_at < CROSSING + cluster.timing_allowance()
                 for unanswered in batch[place:]:
                     # Closed between batches: the gateway has read none of these.
                     unanswered.crossed_close = not place and crossing
@@ -211,7 +211,7 @@
         if result.max_loop_lag > MAX_PAUSE:
             result.outcomes[INCONCLUSIVE] += 1
         else:
-            judge = SoakJudge(result, cluster.machine(), self._connections_limited)
+            judge = SoakJudge(result, cluster.timing_allowance(), self._connections_limited)
             judge.judge(self._requests, cluster)
 
 
--- a/tests/integration/test_arrival_times.py
+++ b/tests/integration/test_arrival_times.py
@@ -36,10 +36,10 @@
                 answered.append(loop.time() - sent)
             attempts = world.attempts()
             assert len(attempts) > 40, len(attempts)
-            excess = [a.at + a.told / 1e3 - sent - CLIENT_TIMEOUT_MS / 1e3 for a in attempts]
-            assert max(excess) <= DEADLINE_SLACK + world.machine()
+            excess = [a.at + a.deadline_ms / 1e3 - sent - CLIENT_TIMEOUT_MS / 1e3 for a in attempts]
+            assert max(excess) <= DEADLINE_SLACK + world.timing_allowance()
             if commands <= SMALL_PIPELINE:  # reading thousands takes as long as the machine needs
-                assert max(answered) <= CLIENT_TIMEOUT_MS / 1e3 + ANSWER_SLACK + world.machine()
+                assert max(answered) <= CLIENT_TIMEOUT_MS / 1e3 + ANSWER_SLACK + world.timing_allowance()
 
     run(scenario)
 
@@ -64,8 +64,8 @@
             assert await client.answer() == b"%016x" % 1
             (attempt,) = world.attempts()
             assert (
-                attempt.at + attempt.told / 1e3 - sent
-                <= CLIENT_TIMEOUT_MS / 1e3 + DEADLINE_SLACK + world.machine()
+                attempt.at + attempt.deadline_ms / 1e3 - sent
+                <= CLIENT_TIMEOUT_MS / 1e3 + DEADLINE_SLACK + world.timing_allowance()
             )
 
     run(scenario)
--- a/tests/support/gateway_cluster.py
+++ b/tests/support/gateway_cluster.py
@@ -96,7 +96,7 @@
             await asyncio.sleep(TICK)
             self.max_loop_lag = max(self.max_loop_lag, loop.time() - before - TICK)
 
-    def machine(self) -> float:
+    def timing_allowance(self) -> float:
         """Seconds that a busy machine may add to what is measured here.
 
         A gateway may be held up as long as this process was, when it reads and when it writes, and this
--- a/tests/support/rate_server.py
+++ b/tests/support/rate_server.py
@@ -20,7 +20,7 @@
 
     server: str
     request: bytes
-    told: int  # milliseconds until the deadline, as the gateway passed it on
+    deadline_ms: int  # milliseconds until the deadline, as the gateway passed it on
     at: float
     ended_at: float = math.inf  # when its answer was written or its connection ended
 
--- a/tests/support/soak_judgement.py
+++ b/tests/support/soak_judgement.py
@@ -94,7 +94,7 @@
                 self._violation(f"{request_id!r} has two attempts in flight")
         for attempt in attempts:
             deadline = request.sent_at + request.time_remaining
-            excess = attempt.at + attempt.told / 1e3 - deadline
+            excess = attempt.at + attempt.deadline_ms / 1e3 - deadline
             if excess > DEADLINE_SLACK + self._allowance:
                 self._violation(f"{request_id!r} passed on with {excess:.3f} s more than remained")
 
