--- a/rushroad/policy/tenant_usage.py
+++ b/rushroad/policy/tenant_usage.py
@@ -12,9 +12,7 @@
 MAX_WINDOW = 30 * SECOND  # microseconds; half of the longest time that the counter keeps a name
 REFILL_FRACTION = 1.0 - 1.0 / WINDOW_BURSTS  # of the refill; with the burst of a new window it makes the rate
 MAX_MARGIN = 0.5  # of the burst kept free for use that other gateways have not reported yet
-PRIOR_UNITS = (
-    2.0  # own units in totals that tell as much of the others' use as the assumption of an even split
-)
+PRIOR_UNITS = 2.0  # own units in totals that weigh as much as an assumed even split
 MEMORY_WINDOWS = 8.0  # windows after which the decisions made by totals have faded
 SMOOTHING = 0.2  # weight of a new reading in a running mean
 
--- a/tests/support/soak_judgement.py
+++ b/tests/support/soak_judgement.py
@@ -26,9 +26,7 @@
     first_on_connection: bool
     answers: list[bytes] = field(default_factory=list)
     answered_at: float = 0.0
-    previous_answered_at: float = (
-        0.0  # the answer before it on its connection; the wait for that is not judged
-    )
+    previous_answered_at: float = 0.0  # the answer before it on its connection, whose wait is not judged
     crossed_close: bool = False  # written at about the time at which the gateway closed its connection
 
 
