--- a/lynxreel/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""lynxreel: the real gateway round mothgap's decisions, on sockets."""
--- /dev/null
+++ b/rushroad/__init__.py
@@ -0,0 +1,1 @@
+"""A quota gateway for fleets of rate servers."""
--- a/fleetbench/cli.py
+++ b/rushroad/bench/cli.py
@@ -1,15 +1,15 @@
-"""The command `fleetbench`: one subcommand an experiment."""
+"""The command `rushroad-bench`: one subcommand an experiment."""
 
 from __future__ import annotations
 
 import click
 
-from fleetbench.hollow_experiments import COMMANDS as HOLLOW_COMMANDS
-from fleetbench.real_experiments import COMMANDS as REAL_COMMANDS
+from rushroad.bench.real_experiments import COMMANDS as REAL_COMMANDS
+from rushroad.bench.simulated_experiments import COMMANDS as HOLLOW_COMMANDS
 
 
 @click.group()
-@click.version_option(package_name="lynxreel")
+@click.version_option(package_name="rushroad")
 def main() -> None:
     """Measure rushroad's gateways against stand-ins on loopback, and whole fleets of hollow ones."""
 
--- a/fleetbench/orders.py
+++ b/rushroad/bench/commands.py
@@ -12,7 +12,7 @@
 from types import TracebackType
 from typing import Any
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 MOST_LINE = 1 << 24  # bytes
 END_S = 5.0  # seconds that a process may take to end when its input has ended; then it is killed
 Answer = Callable[[dict[str, Any]], None]
--- a/fleetbench/gateways.py
+++ b/rushroad/bench/gateway_processes.py
@@ -18,8 +18,8 @@
 
 import psutil
 
-from fleetbench.orders import ROOT
-from lynxreel.resp import pack
+from rushroad.bench.commands import ROOT
+from rushroad.proxy.resp import pack
 
 DEPLOY_FILE = ROOT / "deploy/balancer.toml"
 FIRST_HOST = "127.92.0."  # and a number from 1: addresses where nothing else takes ports
--- a/fleetbench/real_experiments.py
+++ b/rushroad/bench/real_experiments.py
@@ -14,14 +14,14 @@
 import click
 import structlog
 
-from fleetbench.gateways import CLASS, PLAN, Peers, RealFleet, time_limit
-from fleetbench.hollow import Size, size_of
-from fleetbench.hollow_experiments import out_option, seed_option, sizes_of
-from fleetbench.load import OUTCOMES, SERVED
-from fleetbench.orders import Worker
-from fleetbench.report import Cell, Run, fit
-from fleetbench.stand_ins.discovery import entry
-from fleetbench.stand_ins.rate_servers import server_address
+from rushroad.bench.commands import Worker
+from rushroad.bench.gateway_processes import CLASS, PLAN, Peers, RealFleet, time_limit
+from rushroad.bench.load import OUTCOMES, SERVED
+from rushroad.bench.report import Cell, Run, fit
+from rushroad.bench.simulated_experiments import out_option, seed_option, sizes_of
+from rushroad.bench.simulated_fleet import Size, size_of
+from rushroad.bench.stand_ins.discovery import entry
+from rushroad.bench.stand_ins.rate_servers import server_address
 
 SIZES = "3/60,101/2000,1010/20000,4900/97000"  # gateways/servers, up to the coming size
 RATES = "43,87,173,346"  # requests a second at a gateway, to twice the coming peak
@@ -108,9 +108,9 @@
     with (
         ended_in_order(),
         time_limit(TIME_LIMIT_S + scene.seconds),
-        tempfile.TemporaryDirectory(prefix="fleetbench-") as folder,
-        Worker("fleetbench.stand_ins") as stand_ins,
-        Worker("fleetbench.load") as clients,
+        tempfile.TemporaryDirectory(prefix="rushroad-bench-") as folder,
+        Worker("rushroad.bench.stand_ins") as stand_ins,
+        Worker("rushroad.bench.load") as clients,
     ):
         at = stand_ins.order({
             "servers": scene.size.servers, "work_s": scene.work_ms / 1e3, "reports": True, "shards": 1,
@@ -193,7 +193,7 @@
     `after`: seconds for which each is looked at; the bound on late attempts needs more than LATE.
     """
     burst = min(burst, scene.size.servers // 2)
-    with bench(scene) as now, Worker("fleetbench.load") as pings:
+    with bench(scene) as now, Worker("rushroad.bench.load") as pings:
         now.fleet.wait_ready()
         now.fleet.wait(SETTLE_S)
         pings.order({"do": "ping", "gateway": now.fleet.gateways[0].address})
--- a/fleetbench/hollow_experiments.py
+++ b/rushroad/bench/simulated_experiments.py
@@ -16,13 +16,23 @@
 import click
 import xxhash
 
-from fleetbench.hollow import (
-    CELL, SECOND, SETTINGS, START, ZONES, CountingGateway, Fleet, Holders, Size, server_name, size_of,
+from rushroad.bench.report import Cell, Run, fit
+from rushroad.bench.simulated_fleet import (
+    CELL,
+    SECOND,
+    SETTINGS,
+    START,
+    ZONES,
+    CountingGateway,
+    Fleet,
+    Holders,
+    Size,
+    server_name,
+    size_of,
 )  # fmt: skip
-from fleetbench.report import Cell, Run, fit
-from mothgap.interface import ListKind, Member, Members, SetTimer, State, Timer
-from mothgap.rules import Gateway
-from mothgap.subset import holders, sharers
+from rushroad.policy.gateway import Gateway
+from rushroad.policy.interface import ListKind, Member, Members, SetTimer, State, Timer
+from rushroad.policy.subsetting import holders, sharers
 
 SIZES_COST = "3/40,200/40,30/200,200/200,100/2000,400/8000,4900/97000"
 SIZES_SPREAD = "10/40,30/12,200/200,400/2000,1000/20000,4900/97000"
--- a/fleetbench/hollow.py
+++ b/rushroad/bench/simulated_fleet.py
@@ -1,6 +1,6 @@
 """Hollow gateways: the decision module without sockets, many in one process, on a virtual clock.
 
-The module is the real one, `mothgap.rules.Gateway`. What is around it is emulated in one heap of events:
+The module is the real one, `rushroad.policy.gateway.Gateway`. What is around it is emulated in one heap of events:
 clients, the shared counter, rate servers and the list of them. All times are microseconds of the virtual
 clock, all chance comes from one seed, and nothing waits: a run takes as long as the module's work does.
 
@@ -22,11 +22,34 @@
 from random import Random
 from typing import Any
 
-from mothgap.interface import (
-    Action, Cancel, Count, Counted, Counter, Effect, Event, Fail, Group, Limits, ListKind, Member, Members,
-    Outcome, Plan, Refuse, Request, RequestClass, Result, Safety, Send, SetTimer, Settings, State, Timer,
+from rushroad.policy.gateway import Gateway, _Server
+from rushroad.policy.interface import (
+    Action,
+    Cancel,
+    Count,
+    Counted,
+    Counter,
+    Effect,
+    Event,
+    Fail,
+    Group,
+    Limits,
+    ListKind,
+    Member,
+    Members,
+    Outcome,
+    Plan,
+    Refuse,
+    Request,
+    RequestClass,
+    Result,
+    Safety,
+    Send,
+    SetTimer,
+    Settings,
+    State,
+    Timer,
 )  # fmt: skip
-from mothgap.rules import Gateway, _Server
 
 MS = 1_000
 SECOND = 1_000_000
--- a/fleetbench/stand_ins/counter.py
+++ b/rushroad/bench/stand_ins/counter.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import cast
 
-from fleetbench.stand_ins.replies import Replies
+from rushroad.bench.stand_ins.replies import Replies
 
 MOST_NAME = 64  # bytes
 MOST_AMOUNT = 1e9
--- a/fleetbench/stand_ins/rate_servers.py
+++ b/rushroad/bench/stand_ins/rate_servers.py
@@ -9,8 +9,8 @@
 from ipaddress import IPv4Address
 from typing import cast
 
-from fleetbench.stand_ins.replies import Replies, Reply
-from lynxreel import resp
+from rushroad.bench.stand_ins.replies import Replies, Reply
+from rushroad.proxy import resp
 
 FIRST_ADDRESS = int(IPv4Address("127.64.0.0"))  # of rate server 0; the others follow, up to 127.127.255.255
 MOST_SERVERS = 1 << 22
--- /dev/null
+++ b/rushroad/policy/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions of a gateway: events in, actions out, with no I/O."""
--- a/mothgap/clock.py
+++ b/rushroad/policy/clock_skew.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from mothgap.interface import ListKind, Members
+from rushroad.policy.interface import ListKind, Members
 
 SUSPECT_MOST = 0.5  # part of the servers that may look warm by the wall clock alone before that is believed
 
--- a/mothgap/rules.py
+++ b/rushroad/policy/gateway.py
@@ -1,5 +1,5 @@
-"""The decisions of a mothgap gateway. Its events, actions and settings are in `mothgap/interface.py`, the
-servers that it keeps to in `mothgap/subset.py`.
+"""The decisions of a gateway. Its events, actions and settings are in `rushroad/policy/interface.py`, the
+servers that it keeps to in `rushroad/policy/subsetting.py`.
 
 A request's way, in the order of this file:
 
@@ -18,17 +18,39 @@
 import math
 import random
 from collections import OrderedDict
-from itertools import islice
 from collections.abc import Iterator
+from itertools import islice
 
-from mothgap.interface import (
-    Action, Cancel, Count, Counted, CountedLate, Effect, Event, Expired, Fail, Group, ListKind, Member,
-    Members, Outcome, Plan, Refuse, Request, RequestClass, Result, Send, SetTimer, Settings, State, Timer,
+from rushroad.policy.clock_skew import ClockLead
+from rushroad.policy.counter_window import CHANCE, SharedCount
+from rushroad.policy.interface import (
+    Action,
+    Cancel,
+    Count,
+    Counted,
+    CountedLate,
+    Effect,
+    Event,
+    Expired,
+    Fail,
+    Group,
+    ListKind,
+    Member,
+    Members,
+    Outcome,
+    Plan,
+    Refuse,
+    Request,
+    RequestClass,
+    Result,
+    Send,
+    SetTimer,
+    Settings,
+    State,
+    Timer,
     Watch,
 )  # fmt: skip
-from mothgap.clock import ClockLead
-from mothgap.shared_count import CHANCE, SharedCount
-from mothgap.subset import SHARERS_FEW, Roster
+from rushroad.policy.subsetting import SHARERS_FEW, Roster
 
 SECOND = 1_000_000  # microseconds
 NAME_LIFE = 60 * SECOND  # microseconds; the longest that the counter keeps a name
--- a/mothgap/settings.py
+++ b/rushroad/policy/settings_reader.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from mothgap import interface as api
+from rushroad.policy import interface as api
 
 EFFECTS = {"repeatable": api.Effect.REPEATABLE, "by_key": api.Effect.KEYED, "once": api.Effect.ONCE}
 GROUPS = {group.value: group for group in api.Group}
--- a/mothgap/subset.py
+++ b/rushroad/policy/subsetting.py
@@ -14,7 +14,7 @@
 
 import xxhash
 
-from mothgap.interface import ListKind, Member, Members, State
+from rushroad.policy.interface import ListKind, Member, Members, State
 
 SERVERS_LEAST = 8  # servers a gateway, where there are so many: fewer are too easily bad together
 SERVERS_MOST = 56  # servers a gateway, as long as each has SHARERS_LEAST: a choice looks at them all
--- a/lynxreel/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -16,16 +16,16 @@
 
 import uvloop
 
-from lynxreel.clients import Clients, Terms
-from lynxreel.counter import Counter
-from lynxreel.cutter import Cutter
-from lynxreel.discovery import UNREADABLE, Discovery, Line, Lists, News, read_address
-from lynxreel.gateway import Engine
-from lynxreel.log import log
-from lynxreel.passing import AGAIN, PASSING, START_PATIENCE, persist
-from lynxreel.servers import Servers
-from mothgap.interface import ListKind, Members
-from mothgap.settings import Names, read_names, read_settings
+from rushroad.policy.interface import ListKind, Members
+from rushroad.policy.settings_reader import Names, read_names, read_settings
+from rushroad.proxy.client_connection import Clients, Terms
+from rushroad.proxy.counter_client import Counter
+from rushroad.proxy.discovery import UNREADABLE, Discovery, Line, Lists, News, read_address
+from rushroad.proxy.engine import Engine
+from rushroad.proxy.json_splitter import Cutter
+from rushroad.proxy.nonblocking_log import log
+from rushroad.proxy.transient_errors import AGAIN, PASSING, START_PATIENCE, persist
+from rushroad.proxy.upstream import Servers
 
 FIRST_NEWS = 0.3  # seconds that a start waits for discovery before it goes by the list it had last
 FREEZE = 10_000  # entries of the list: a collection that looks at them takes some 2 ms
--- a/lynxreel/clients.py
+++ b/rushroad/proxy/client_connection.py
@@ -12,12 +12,12 @@
 from itertools import islice
 from typing import cast
 
-from lynxreel import resp
-from lynxreel.arrivals import Arrivals
-from lynxreel.gateway import Engine
-from lynxreel.passing import AGAIN, RESOURCES, look, readable
-from mothgap.interface import Effect, Settings
-from mothgap.settings import Names
+from rushroad.policy.interface import Effect, Settings
+from rushroad.policy.settings_reader import Names
+from rushroad.proxy import resp
+from rushroad.proxy.arrival_times import Arrivals
+from rushroad.proxy.engine import Engine
+from rushroad.proxy.transient_errors import AGAIN, RESOURCES, look, readable
 
 ARITY = {b"CALL.GET": 4, b"CALL.POST": 5}
 MOST_WORDS = 16  # in a command; longer than any that clients and their libraries send
--- a/lynxreel/counter.py
+++ b/rushroad/proxy/counter_client.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 from typing import cast
 
-from mothgap.interface import Counted, CountedLate, Result
+from rushroad.policy.interface import Counted, CountedLate, Result
 
 CONNECTIONS = 2
 RETRY = 0.05  # seconds before a second try to connect in a row; doubled up to MOST_RETRY
--- a/lynxreel/discovery.py
+++ b/rushroad/proxy/discovery.py
@@ -14,11 +14,11 @@
 import h11
 import msgspec
 
-from lynxreel.backoff import Backoff
-from lynxreel.cutter import Cutter, Run
-from lynxreel.log import log
-from mothgap.interface import ListKind, Member, Members, State
-from mothgap.settings import Names
+from rushroad.policy.interface import ListKind, Member, Members, State
+from rushroad.policy.settings_reader import Names
+from rushroad.proxy.backoff import Backoff
+from rushroad.proxy.json_splitter import Cutter, Run
+from rushroad.proxy.nonblocking_log import log
 
 STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 SILENT = 4.2  # seconds: over two of the watch's heartbeats; what it misses counts as told after 6 s
--- a/lynxreel/gateway.py
+++ b/rushroad/proxy/engine.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from lynxreel.log import log
-from mothgap import interface as api
-from mothgap.rules import Gateway
+from rushroad.policy import interface as api
+from rushroad.policy.gateway import Gateway
+from rushroad.proxy.nonblocking_log import log
 
 WAY = 10_000  # microseconds of a client's patience kept back for the way there and back and for loop lag
 LATE = 30_000  # microseconds past the deadline told to the module at which the answer is given without it
--- a/lynxreel/log.py
+++ b/rushroad/proxy/nonblocking_log.py
@@ -51,9 +51,9 @@
         return not self._dropped
 
     def _write(self, text: str) -> bool:
-        data = f"lynxreel: {text}".encode(errors="replace")
+        data = f"rushroad: {text}".encode(errors="replace")
         if len(data) >= MOST_BYTES:
-            data = b"lynxreel: ..." + data[16 - MOST_BYTES :]  # the end of a traceback tells most
+            data = b"rushroad: ..." + data[16 - MOST_BYTES :]  # the end of a traceback tells most
         try:
             ready = self._room.poll(0)
             if not ready or not ready[0][1] & select.POLLOUT:
--- a/lynxreel/servers.py
+++ b/rushroad/proxy/upstream.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterable
 from typing import cast
 
-from lynxreel import resp
-from lynxreel.gateway import Attempt, Engine
-from lynxreel.passing import RESOURCES, look
-from mothgap.interface import Effect, Member, Result, Settings, State
+from rushroad.policy.interface import Effect, Member, Result, Settings, State
+from rushroad.proxy import resp
+from rushroad.proxy.engine import Attempt, Engine
+from rushroad.proxy.transient_errors import RESOURCES, look
 
 AGE = 0.025  # seconds idle in the first step of a table of ages; each further step is twice as long
 AGES = 12
--- /dev/null
+++ b/rushroad/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The adapter between the deployment simulator and the decision policy."""
--- a/mothgap/drill.py
+++ b/rushroad/simulator/adapter.py
@@ -1,6 +1,6 @@
 """Adapter between the simulator's wire and the decision module: framing and names, no decisions.
 
-Run as ``python -m mothgap.drill``: batches of events on standard input, a reply to each on standard output.
+Run as ``python -m rushroad.simulator.adapter``: batches of events on standard input, a reply to each on standard output.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 import sys
 from typing import Any, BinaryIO
 
-from mothgap import interface as api
-from mothgap.rules import Gateway
-from mothgap.settings import read_settings
+from rushroad.policy import interface as api
+from rushroad.policy.gateway import Gateway
+from rushroad.policy.settings_reader import read_settings
 
 RESULTS = {
     200: api.Result.OK,
@@ -296,7 +296,7 @@
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
-        print(f"mothgap.drill: {error}", file=sys.stderr)
+        print(f"rushroad.simulator.adapter: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/tests/net.py
+++ b/tests/net.py
@@ -6,11 +6,11 @@
 
 import uvloop
 
-from lynxreel.clients import Terms
-from lynxreel.gateway import Attempt, Clock
-from lynxreel.resp import pack
-from mothgap.interface import Result
-from mothgap.settings import Names
+from rushroad.policy.interface import Result
+from rushroad.policy.settings_reader import Names
+from rushroad.proxy.client_connection import Terms
+from rushroad.proxy.engine import Attempt, Clock
+from rushroad.proxy.resp import pack
 
 LOCAL = "127.0.0.1"
 NAMES = Names({"lookup": 0, "order": 1}, {"basic": 0}, {"box": 1}, {"room": 0}, idle=15_000_000)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -21,7 +21,7 @@
 
 import uvloop
 
-from fleetbench.stand_ins.counter import Mode
+from rushroad.bench.stand_ins.counter import Mode
 from tests.world import TICK, Client, World, call
 
 KILL_LEAST, KILL_MORE = 3.0, 0.7  # seconds: SIGKILL comes that long after SIGTERM at the earliest
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -2,7 +2,7 @@
 
 import random
 
-from lynxreel.backoff import Backoff
+from rushroad.proxy.backoff import Backoff
 
 
 def test_pauses_double_up_to_the_most_and_start_anew_after_success() -> None:
--- a/tests/test_clock_lead.py
+++ b/tests/test_clock_lead.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from mothgap.clock import ClockLead
-from mothgap.interface import ListKind, Member, Members, State
+from rushroad.policy.clock_skew import ClockLead
+from rushroad.policy.interface import ListKind, Member, Members, State
 from tests.helpers import SECOND
 
 SPAN = 17 * SECOND
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from mothgap.interface import Send
+from rushroad.policy.interface import Send
 from tests.helpers import MS, SECOND, SETTINGS, Driver, line
 
 GATEWAYS, SERVERS = 25, 10
--- a/tests/test_fleetbench_hollow.py
+++ b/tests/test_fleetbench_hollow.py
@@ -5,11 +5,11 @@
 import click
 import pytest
 
-from fleetbench import hollow_experiments as experiments
-from fleetbench.hollow import LIST_MOST, MS, SECOND, Attempt, Fleet, HollowServer, Size, size_of
-from fleetbench.report import Run
-from mothgap.interface import Result
-from mothgap.subset import SERVERS_MOST
+from rushroad.bench import simulated_experiments as experiments
+from rushroad.bench.report import Run
+from rushroad.bench.simulated_fleet import LIST_MOST, MS, SECOND, Attempt, Fleet, HollowServer, Size, size_of
+from rushroad.policy.interface import Result
+from rushroad.policy.subsetting import SERVERS_MOST
 
 
 def fleet(size: str = "6/12", seed: int = 1, **words: int) -> Fleet:
--- a/tests/test_fleetbench_load.py
+++ b/tests/test_fleetbench_load.py
@@ -3,9 +3,9 @@
 import asyncio
 from typing import Any
 
-from fleetbench.load import Load, Pings
-from fleetbench.stand_ins.rate_servers import LATE, RateServers, server_address
-from lynxreel.resp import Reader
+from rushroad.bench.load import Load, Pings
+from rushroad.bench.stand_ins.rate_servers import LATE, RateServers, server_address
+from rushroad.proxy.resp import Reader
 from tests.net import LOCAL, run
 
 ORDER = {
--- a/tests/test_fleetbench_report.py
+++ b/tests/test_fleetbench_report.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from fleetbench.report import Run, commit, fit, table
+from rushroad.bench.report import Run, commit, fit, table
 
 
 def test_the_line_through_points_on_a_line_explains_all_of_them() -> None:
--- a/tests/test_largest_values.py
+++ b/tests/test_largest_values.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from fleetbench.gateways import settings
+from rushroad.bench.gateway_processes import settings
 from tests.net import run
 from tests.world import World, call
 
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lynxreel.resp import MOST_LINE, MOST_VALUE, Malformed, Reader, pack
+from rushroad.proxy.resp import MOST_LINE, MOST_VALUE, Malformed, Reader, pack
 
 
 def read(data: bytes, answers: bool, step: int) -> list[object]:
--- a/tests/test_rules_hold.py
+++ b/tests/test_rules_hold.py
@@ -2,9 +2,20 @@
 
 from dataclasses import replace
 
-from hypothesis import HealthCheck, given, settings, strategies as st
+from hypothesis import HealthCheck, given, settings
+from hypothesis import strategies as st
 
-from mothgap.interface import Effect, Group, Limits, ListKind, Plan, RequestClass, Result, Settings, State
+from rushroad.policy.interface import (
+    Effect,
+    Group,
+    Limits,
+    ListKind,
+    Plan,
+    RequestClass,
+    Result,
+    Settings,
+    State,
+)
 from tests.helpers import MS, SECOND, SETTINGS, Driver, line
 
 RESULTS = list(Result)
--- a/tests/test_shared_count.py
+++ b/tests/test_shared_count.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from mothgap.interface import Count
-from mothgap.shared_count import SharedCount
+from rushroad.policy.counter_window import SharedCount
+from rushroad.policy.interface import Count
 from tests.helpers import MS, SECOND, START, Totals
 
 LENGTH, MARGIN = 8 * SECOND, 80 * MS
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from mothgap.interface import Effect, Group, ListKind, Member, Members, Plan, Result, Send, State
-from mothgap.rules import SHARE_PART, Gateway
-from mothgap.subset import SERVERS_MOST, SHARE_STEP, Roster, holders, picks, sharers
+from rushroad.policy.gateway import SHARE_PART, Gateway
+from rushroad.policy.interface import Effect, Group, ListKind, Member, Members, Plan, Result, Send, State
+from rushroad.policy.subsetting import SERVERS_MOST, SHARE_STEP, Roster, holders, picks, sharers
 from tests.helpers import KEYED, MS, SECOND, SETTINGS, START, Driver
 
 FREE = replace(SETTINGS, counter=None, plans=(Plan(),), fleet_size=200)  # nothing but servers limits it
--- a/tests/test_time_told.py
+++ b/tests/test_time_told.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lynxreel.arrivals import DRAIN, LARGE, Arrivals
+from rushroad.proxy.arrival_times import DRAIN, LARGE, Arrivals
 from tests.net import resp, run
 from tests.world import World, call
 
--- a/tests/test_true_units.py
+++ b/tests/test_true_units.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from fleetbench.gateways import settings
-from lynxreel.gateway import Attempt, Engine
-from lynxreel.servers import Servers
+from rushroad.bench.gateway_processes import settings
+from rushroad.proxy.engine import Attempt, Engine
+from rushroad.proxy.upstream import Servers
 from tests.net import Heard, Peer, run
 from tests.test_servers import FAST, LONG, at, held
 from tests.world import World, call
--- a/tests/world.py
+++ b/tests/world.py
@@ -18,10 +18,10 @@
 from types import TracebackType
 from typing import Any, cast
 
-from fleetbench.gateways import settings as bench_settings
-from fleetbench.stand_ins.counter import Counter
-from fleetbench.stand_ins.replies import Replies, Reply
-from lynxreel import resp
+from rushroad.bench.gateway_processes import settings as bench_settings
+from rushroad.bench.stand_ins.counter import Counter
+from rushroad.bench.stand_ins.replies import Replies, Reply
+from rushroad.proxy import resp
 from tests.test_process import PATIENCE, ROOT, RUN
 
 HOST = "127.91.0.2"  # where the gateways listen: nothing else takes ports there
