--- a/rushroad/bench/commands.py
+++ b/rushroad/bench/commands.py
@@ -40,9 +40,13 @@
 
     def __init__(self, module: str) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, "-m", module], cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE,
-            start_new_session=True, text=True,
-        )  # fmt: skip
+            [sys.executable, "-m", module],
+            cwd=ROOT,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            start_new_session=True,
+            text=True,
+        )
 
     def order(self, data: dict[str, Any]) -> dict[str, Any]:
         """Give an order and wait for its answer. RuntimeError where the process has ended."""
--- a/rushroad/bench/gateway_processes.py
+++ b/rushroad/bench/gateway_processes.py
@@ -71,20 +71,43 @@
     """
     return {
         "classes": [
-            {"name": CLASS, "effect": "repeatable", "gain": 1.0, "giveUpUs": 10_000_000,
-             "goalTimeUs": 3_000_000, "group": "all", "lateWorth": 0.0, "streamed": False,
-             "windowUs": 5_000_000},
+            {
+                "name": CLASS,
+                "effect": "repeatable",
+                "gain": 1.0,
+                "giveUpUs": 10_000_000,
+                "goalTimeUs": 3_000_000,
+                "group": "all",
+                "lateWorth": 0.0,
+                "streamed": False,
+                "windowUs": 5_000_000,
+            },
         ],
         "packages": [{"name": PLAN, "quotaRate": 200.0, "mostAtOnce": 400.0, "neverOverRate": 0.0}],
-        "areas": ["room-a", "room-b", "room-c"], "kinds": ["full", "slow"],
-        "fleetSize": fleet, "selfIndex": index, "tickUs": 4_000, "zone": index % 3,
-        "limits": {"maxAttempts": 3, "mayCancel": True, "connIdleUs": 30_000_000,
-                   "connectTimeoutUs": 250_000},
-        "safety": {"answerSlackUs": 16_000, "stopSendingWithinUs": 500_000, "coldFrom": 0.19,
-                   "coldUs": 17_000_000, "tipMultiple": 2.0, "fallUs": 1_500_000},
+        "areas": ["room-a", "room-b", "room-c"],
+        "kinds": ["full", "slow"],
+        "fleetSize": fleet,
+        "selfIndex": index,
+        "tickUs": 4_000,
+        "zone": index % 3,
+        "limits": {
+            "maxAttempts": 3,
+            "mayCancel": True,
+            "connIdleUs": 30_000_000,
+            "connectTimeoutUs": 250_000,
+        },
+        "safety": {
+            "answerSlackUs": 16_000,
+            "stopSendingWithinUs": 500_000,
+            "coldFrom": 0.19,
+            "coldUs": 17_000_000,
+            "tipMultiple": 2.0,
+            "fallUs": 1_500_000,
+        },
         "extra": {"counter": True, "countLimitUs": 80_000, "unitsTop": 4},
-        "report": {"fields": ["inflight"], "via": "inline"}, "registryMode": "automatic",
-    }  # fmt: skip
+        "report": {"fields": ["inflight"], "via": "inline"},
+        "registryMode": "automatic",
+    }
 
 
 class RealGateway:
@@ -96,23 +119,34 @@
             self.address = f"{host}:{taken.getsockname()[1]}"
         self.number = number
         config = {
-            "name": f"n{number}", "listen": self.address, "discovery": peers.discovery,
-            "counter": peers.counter, "seed": f"{number + 1:016x}", "known": known,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1_024}, "settings": settings(fleet, number),
-        }  # fmt: skip
+            "name": f"n{number}",
+            "listen": self.address,
+            "discovery": peers.discovery,
+            "counter": peers.counter,
+            "seed": f"{number + 1:016x}",
+            "known": known,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1_024},
+            "settings": settings(fleet, number),
+        }
         file = folder / f"n{number}.json"
         file.write_text(json.dumps(config))
         self._log = (folder / f"n{number}.log").open("w+b")
         edge = {
-            "EDGE_NAME": f"n{number}", "EDGE_LISTEN": self.address, "EDGE_DISCOVERY": peers.discovery,
+            "EDGE_NAME": f"n{number}",
+            "EDGE_LISTEN": self.address,
+            "EDGE_DISCOVERY": peers.discovery,
             "EDGE_CONFIG": str(file),
-        }  # fmt: skip
+        }
         self.started = time.monotonic()
         self.process = subprocess.Popen(
-            [*END_WITH_PARENT, "/bin/sh", "-c", tomllib.loads(DEPLOY_FILE.read_text())["run"]], cwd=ROOT,
-            env={**os.environ, **edge}, stdin=subprocess.DEVNULL, stdout=self._log, stderr=self._log,
+            [*END_WITH_PARENT, "/bin/sh", "-c", tomllib.loads(DEPLOY_FILE.read_text())["run"]],
+            cwd=ROOT,
+            env={**os.environ, **edge},
+            stdin=subprocess.DEVNULL,
+            stdout=self._log,
+            stderr=self._log,
             start_new_session=True,
-        )  # fmt: skip
+        )
         clock = ctypes.c_int()
         if LIBC.clock_getcpuclockid(self.process.pid, ctypes.byref(clock)) != 0:
             raise RuntimeError(f"gateway {number} has no processor clock")
@@ -123,8 +157,10 @@
         host, _, port = self.address.partition(":")
         while time.monotonic() - self.started < START_S:
             self.check()
-            with contextlib.suppress(ConnectionRefusedError), \
-                    socket.create_connection((host, int(port)), timeout=START_S) as peer:  # fmt: skip
+            with (
+                contextlib.suppress(ConnectionRefusedError),
+                socket.create_connection((host, int(port)), timeout=START_S) as peer,
+            ):
                 peer.sendall(b"*1\r\n$4\r\nPING\r\n")
                 if peer.recv(64) == b"+PONG\r\n":
                     return time.monotonic() - self.started
@@ -188,9 +224,7 @@
     def __enter__(self) -> RealFleet:
         try:
             for number in range(self._count):
-                self.gateways.append(
-                    RealGateway(number, self._fleet, self._peers, self._known, self._folder)
-                )
+                self.gateways.append(RealGateway(number, self._fleet, self._peers, self._known, self._folder))
         except BaseException:
             self._end()
             raise
--- a/rushroad/bench/real_experiments.py
+++ b/rushroad/bench/real_experiments.py
@@ -79,12 +79,19 @@
         scene, fleet = self.scene, self.fleet
         rate = scene.rate * len(fleet.gateways)
         return {
-            "do": "load", "gateways": [gateway.address for gateway in fleet.gateways],
-            "numbers": [gateway.number for gateway in fleet.gateways], "rate": rate,
-            "count": max(1, round(rate * seconds)), "tenants": scene.tenants, "fleet": scene.size.gateways,
-            "spread": min(SPREAD, scene.size.gateways), "patience_ms": PATIENCE_MS, "cls": CLASS,
-            "plan": PLAN, "seed": scene.seed,
-        }  # fmt: skip
+            "do": "load",
+            "gateways": [gateway.address for gateway in fleet.gateways],
+            "numbers": [gateway.number for gateway in fleet.gateways],
+            "rate": rate,
+            "count": max(1, round(rate * seconds)),
+            "tenants": scene.tenants,
+            "fleet": scene.size.gateways,
+            "spread": min(SPREAD, scene.size.gateways),
+            "patience_ms": PATIENCE_MS,
+            "cls": CLASS,
+            "plan": PLAN,
+            "seed": scene.seed,
+        }
 
 
 @contextlib.contextmanager
@@ -112,17 +119,24 @@
         Worker("rushroad.bench.stand_ins") as stand_ins,
         Worker("rushroad.bench.load") as clients,
     ):
-        at = stand_ins.order({
-            "servers": scene.size.servers, "work_s": scene.work_ms / 1e3, "reports": True, "shards": 1,
-            "indent": scene.indent, "seed": scene.seed,
-        })  # fmt: skip
+        at = stand_ins.order(
+            {
+                "servers": scene.size.servers,
+                "work_s": scene.work_ms / 1e3,
+                "reports": True,
+                "shards": 1,
+                "indent": scene.indent,
+                "seed": scene.seed,
+            }
+        )
         peers = Peers(at["discovery"], at["counter"])
         port = int(at["first_server"].rpartition(":")[2])
         listed = range(scene.size.servers if scene.known else 0)
         known = {
-            "generation": int(scene.known), "reset": True,
+            "generation": int(scene.known),
+            "reset": True,
             "instances": [entry(number, server_address(number, port)) for number in listed],
-        }  # fmt: skip
+        }
         with RealFleet(scene.gateways, scene.size.gateways, peers, known, Path(folder)) as fleet:
             yield Bench(scene, stand_ins, clients, fleet)
 
@@ -145,10 +159,17 @@
         row = _outcomes(result)
         count = row["requests"]
         assert isinstance(count, int)
-        return row | _spent(figures, after, count) | {
-            "cpu_us_request": cpu / count * 1e6, "core_share": cpu / result["seconds"] / scene.gateways,
-            "idle_core_share": idle, "ready_s": ready, "peak_mb": now.fleet.peak_memory() / MEGABYTE,
-        }  # fmt: skip
+        return (
+            row
+            | _spent(figures, after, count)
+            | {
+                "cpu_us_request": cpu / count * 1e6,
+                "core_share": cpu / result["seconds"] / scene.gateways,
+                "idle_core_share": idle,
+                "ready_s": ready,
+                "peak_mb": now.fleet.peak_memory() / MEGABYTE,
+            }
+        )
 
 
 def _outcomes(result: dict[str, Any]) -> dict[str, Cell]:
@@ -168,11 +189,14 @@
 
     counter_bytes = more("counter", "bytes_in") + more("counter", "bytes_out")
     return {
-        "attempts": more("servers", "attempts"), "late_attempts": more("servers", "late"),
-        "syntax": more("servers", "syntax"), "changes": more("discovery", "changes"),
+        "attempts": more("servers", "attempts"),
+        "late_attempts": more("servers", "late"),
+        "syntax": more("servers", "syntax"),
+        "changes": more("discovery", "changes"),
         "connects_request": more("servers", "connects") / requests,
-        "calls_request": more("counter", "calls") / requests, "bytes_request": counter_bytes / requests,
-    }  # fmt: skip
+        "calls_request": more("counter", "calls") / requests,
+        "bytes_request": counter_bytes / requests,
+    }
 
 
 def measure_list(scene: Scene) -> dict[str, Cell]:
@@ -182,9 +206,11 @@
         serving = now.fleet.gateways[0].wait_serving(SERVING_S)
         now.fleet.wait(SETTLE_S)
         return {
-            "ready_s": ready, "serving_s": "never" if serving is None else serving,
-            "cpu_s": now.fleet.cpu(), "peak_mb": now.fleet.peak_memory() / MEGABYTE,
-        }  # fmt: skip
+            "ready_s": ready,
+            "serving_s": "never" if serving is None else serving,
+            "cpu_s": now.fleet.cpu(),
+            "peak_mb": now.fleet.peak_memory() / MEGABYTE,
+        }
 
 
 def measure_changes(scene: Scene, burst: int, after: float = AFTER_S) -> dict[str, Cell]:
@@ -212,10 +238,15 @@
         outcomes = _outcomes(result)
         spent = _spent(before, now.figures(), 1)
         kept = ("requests", *OUTCOMES)
-        return row | {name: outcomes[name] for name in kept} | {
-            "attempts": spent["attempts"], "late_attempts": spent["late_attempts"],
-            "peak_mb": now.fleet.peak_memory() / MEGABYTE,
-        }  # fmt: skip
+        return (
+            row
+            | {name: outcomes[name] for name in kept}
+            | {
+                "attempts": spent["attempts"],
+                "late_attempts": spent["late_attempts"],
+                "peak_mb": now.fleet.peak_memory() / MEGABYTE,
+            }
+        )
 
 
 def add_row(run: Run, named: dict[str, Cell], measured: Callable[[], dict[str, Cell]]) -> bool:
@@ -290,9 +321,7 @@
 @work_option
 @seed_option
 @out_option
-def demo_command(
-    size: str, rate: float, seconds: float, work_ms: float, seed: int, out: Path | None
-) -> None:
+def demo_command(size: str, rate: float, seconds: float, work_ms: float, seed: int, out: Path | None) -> None:
     """A small fleet of real gateways under load for a few seconds."""
     (sized,) = sizes_of(size)
     scene = Scene(sized, sized.gateways, rate, seconds, work_ms=work_ms, seed=seed)
@@ -317,15 +346,23 @@
 @seed_option
 @out_option
 def cost_by_servers_command(
-    sizes: str, changes: float, rate: float, seconds: float, work_ms: float, gateways: int, seed: int,
+    sizes: str,
+    changes: float,
+    rate: float,
+    seconds: float,
+    work_ms: float,
+    gateways: int,
+    seed: int,
     out: Path | None,
-) -> None:  # fmt: skip
+) -> None:
     """Processor time, added latency and memory of a gateway by the size of its fleet."""
     scenes: list[tuple[dict[str, Cell], Scene]] = [
-        ({"fleet": size.gateways, "servers": size.servers},
-         Scene(size, gateways, rate, seconds, work_ms=work_ms, changes=changes, seed=seed))
+        (
+            {"fleet": size.gateways, "servers": size.servers},
+            Scene(size, gateways, rate, seconds, work_ms=work_ms, changes=changes, seed=seed),
+        )
         for size in sizes_of(sizes)
-    ]  # fmt: skip
+    ]
     run, good = by_scene("cost-by-servers", scenes, seed)
     for figure in ("cpu_us_request", "added_p50_ms", "idle_core_share", "peak_mb"):
         add_fit(run, "servers", figure)
@@ -365,9 +402,15 @@
 @seed_option
 @out_option
 def cost_by_tenants_command(
-    tenants: str, size: str, rate: float, seconds: float, work_ms: float, gateways: int, seed: int,
+    tenants: str,
+    size: str,
+    rate: float,
+    seconds: float,
+    work_ms: float,
+    gateways: int,
+    seed: int,
     out: Path | None,
-) -> None:  # fmt: skip
+) -> None:
     """Processor time and memory of a gateway by the customers that its requests are of.
 
     How many of them it met is in `tenants_seen`: with more than rate x seconds, each comes about once.
@@ -395,8 +438,10 @@
     for count in _numbers(servers):
         size = size_of(f"{fleet}/{int(count)}")
         for source, known, indent in (
-            ("known", True, None), ("compact", False, None), ("indented", False, 1)
-        ):  # fmt: skip
+            ("known", True, None),
+            ("compact", False, None),
+            ("indented", False, 1),
+        ):
             scene = Scene(size, known=known, indent=indent, work_ms=0.0, seed=seed)
             named: dict[str, Cell] = {"servers": int(count), "source": source}
             good &= add_row(run, named, lambda scene=scene: measure_list(scene))  # type: ignore[misc]
@@ -410,9 +455,7 @@
 @work_option
 @seed_option
 @out_option
-def changes_command(
-    sizes: str, burst: int, rate: float, work_ms: float, seed: int, out: Path | None
-) -> None:
+def changes_command(sizes: str, burst: int, rate: float, work_ms: float, seed: int, out: Path | None) -> None:
     """The longest stall, by PINGs, at one entry gone and at a burst; attempts to what was gone before."""
     run = Run("changes", seed, {"sizes": sizes, "burst": burst, "rate": rate, "work_ms": work_ms})
     good = True
@@ -449,6 +492,11 @@
 
 
 COMMANDS = (
-    demo_command, cost_by_servers_command, cost_by_rate_command, cost_by_tenants_command, whole_list_command,
-    changes_command, counter_bytes_command,
-)  # fmt: skip
+    demo_command,
+    cost_by_servers_command,
+    cost_by_rate_command,
+    cost_by_tenants_command,
+    whole_list_command,
+    changes_command,
+    counter_bytes_command,
+)
--- a/rushroad/bench/simulated_experiments.py
+++ b/rushroad/bench/simulated_experiments.py
@@ -29,7 +29,7 @@
     Size,
     server_name,
     size_of,
-)  # fmt: skip
+)
 from rushroad.policy.gateway import Gateway
 from rushroad.policy.interface import ListKind, Member, Members, SetTimer, State, Timer
 from rushroad.policy.subsetting import holders, sharers
@@ -78,11 +78,17 @@
         fleet = Fleet(size, seed, sample=[0])
         asked, cost = _request_cost(fleet, requests, patience)
         points.append((float(size.servers), cost))
-        run.add({
-            "gateways": size.gateways, "servers": size.servers, "requests": asked, "us_request": cost,
-            "looked_at": _looked_at(size, seed, min(COUNTED, asked)),
-            **_change_cost(fleet), **_list_cost(size),
-        })
+        run.add(
+            {
+                "gateways": size.gateways,
+                "servers": size.servers,
+                "requests": asked,
+                "us_request": cost,
+                "looked_at": _looked_at(size, seed, min(COUNTED, asked)),
+                **_change_cost(fleet),
+                **_list_cost(size),
+            }
+        )
     if len({servers for servers, _ in points}) > 1:
         line = fit(points)
         run.add({"fit": "us_request by servers", "slope": line.slope, "at_0": line.intercept, "r2": line.r2})
@@ -187,15 +193,20 @@
                 shares[numbers[name]] += 1
                 parts[numbers[name]] += 1.0 / len(servers)
         mean = size.gateways / size.servers  # of the parts: each gateway hands out one
-        run.add({
-            "gateways": size.gateways, "servers": size.servers,
-            **_span("gateways_a_server", shares), **_span("servers_a_gateway", lengths),
-            "load_least": min(parts) / mean, "load_most": max(parts) / mean,
-            **_changes("join", here, subsets(size.gateways, names)),
-            **_changes("leave", here, subsets(size.gateways, names[1:-1])),
-            "same_after_restart": int(_digest(here) == _digest_elsewhere(size)),
-            **_next_step(size, here),
-        })
+        run.add(
+            {
+                "gateways": size.gateways,
+                "servers": size.servers,
+                **_span("gateways_a_server", shares),
+                **_span("servers_a_gateway", lengths),
+                "load_least": min(parts) / mean,
+                "load_most": max(parts) / mean,
+                **_changes("join", here, subsets(size.gateways, names)),
+                **_changes("leave", here, subsets(size.gateways, names[1:-1])),
+                "same_after_restart": int(_digest(here) == _digest_elsewhere(size)),
+                **_next_step(size, here),
+            }
+        )
     return run
 
 
@@ -257,18 +268,26 @@
         for window in range(SETTINGS.safety.cold_span // span):  # the whole ones
             inside = [[a for a in attempts if a[0] // span == window] for _, attempts, _ in seen]
             flat = [a for attempts in inside for a in attempts]
-            run.add({
-                "size": str(size), "from_s": window * span / SECOND,
-                "attempts_mean": len(flat) / trials, "attempts_max": max(map(len, inside)),
-                "bears_mean": fmean(a[2] for a in flat) if flat else 0.0,
-                "nearest": max((a[1] / a[2] for a in flat), default=0.0),
-            })
-        run.add({
-            "size": str(size), "trials": trials, "emulated": seen[0][2],
-            "sharers": len(holders_of(_one_more(size))(server_name(size.servers))),
-            "falls": sum(falls for falls, _, _ in seen),
-            "nearest": max((a[1] / a[2] for _, attempts, _ in seen for a in attempts), default=0.0),
-        })
+            run.add(
+                {
+                    "size": str(size),
+                    "from_s": window * span / SECOND,
+                    "attempts_mean": len(flat) / trials,
+                    "attempts_max": max(map(len, inside)),
+                    "bears_mean": fmean(a[2] for a in flat) if flat else 0.0,
+                    "nearest": max((a[1] / a[2] for a in flat), default=0.0),
+                }
+            )
+        run.add(
+            {
+                "size": str(size),
+                "trials": trials,
+                "emulated": seen[0][2],
+                "sharers": len(holders_of(_one_more(size))(server_name(size.servers))),
+                "falls": sum(falls for falls, _, _ in seen),
+                "nearest": max((a[1] / a[2] for _, attempts, _ in seen for a in attempts), default=0.0),
+            }
+        )
     return run
 
 
@@ -313,14 +332,23 @@
         fleet.run(AFTER)
         back = (WARM_UP + DOWN) // SECOND
         phases = (
-            ("before", back // 2, WARM_UP // SECOND), ("down", WARM_UP // SECOND, back),
-            ("back, first 2 s", back, back + 2), ("after", back + 2, fleet.second()),
-        )  # fmt: skip
+            ("before", back // 2, WARM_UP // SECOND),
+            ("down", WARM_UP // SECOND, back),
+            ("back, first 2 s", back, back + 2),
+            ("after", back + 2, fleet.second()),
+        )
         for name, since, until in phases:
-            run.add({
-                "size": str(size), "emulated": len(sample), "restarted": len(gone), "phase": name,
-                **_rates(fleet, since, until, ("asked", "served", "refused", "failed", "lost", "connects")),
-            })
+            run.add(
+                {
+                    "size": str(size),
+                    "emulated": len(sample),
+                    "restarted": len(gone),
+                    "phase": name,
+                    **_rates(
+                        fleet, since, until, ("asked", "served", "refused", "failed", "lost", "connects")
+                    ),
+                }
+            )
     return run
 
 
@@ -351,8 +379,11 @@
 def _one_zone_lost(size: Size, zones: int, most: int, seed: int) -> list[dict[str, Cell]]:
     holders = holders_of(size)
     watched = [server_name(number) for number in range(0, size.servers, zones)][:WATCHED]
-    sample = sorted({index for name in watched for index in holders(name)} if size.gateways > most
-                    else range(size.gateways))  # fmt: skip
+    sample = sorted(
+        {index for name in watched for index in holders(name)}
+        if size.gateways > most
+        else range(size.gateways)
+    )
     fleet = Fleet(size, seed, sample=sample, zones=zones)
     lost = [server for server in fleet.servers.values() if server.zone == 0]
     left = max(1, size.servers - len(lost))
@@ -378,12 +409,20 @@
     ]
     whole = len(watched) if size.gateways > most else len(lost)
     seen = fleet.tallies.total(first, last)
-    return [*bins, {"second": "all", "emulated": len(sample), "whole_cold": whole,
-                    **{name: seen[name] for name in names}}]  # fmt: skip
+    return [
+        *bins,
+        {
+            "second": "all",
+            "emulated": len(sample),
+            "whole_cold": whole,
+            **{name: seen[name] for name in names},
+        },
+    ]
 
 
 # --- commands -------------------------------------------------------------------------------------------
 
+
 def _finish(run: Run, out: Path | None) -> None:
     if out is None:
         run.finish(None)
--- a/rushroad/bench/simulated_fleet.py
+++ b/rushroad/bench/simulated_fleet.py
@@ -1,12 +1,13 @@
 """Hollow gateways: the decision module without sockets, many in one process, on a virtual clock.
 
-The module is the real one, `rushroad.policy.gateway.Gateway`. What is around it is emulated in one heap of events:
-clients, the shared counter, rate servers and the list of them. All times are microseconds of the virtual
-clock, all chance comes from one seed, and nothing waits: a run takes as long as the module's work does.
+The module is the real one, `rushroad.policy.gateway.Gateway`. What is around it is emulated in one heap of
+events: clients, the shared counter, rate servers and the list of them. All times are microseconds of the
+virtual clock, all chance comes from one seed, and nothing waits: a run takes as long as the module's work
+does.
 
 Of a large fleet a part of the gateways can be emulated. What the others send to the servers that these know
-is then drawn as background work. That tells nothing of what a trouble does to the others, nor of the load on
-the counter.
+is then drawn as background work. That tells nothing of what a trouble does to the others, nor of the load
+on the counter.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
     Settings,
     State,
     Timer,
-)  # fmt: skip
+)
 
 MS = 1_000
 SECOND = 1_000_000
@@ -91,12 +92,17 @@
     tick=4 * MS,
     limits=Limits(max_attempts=3, may_cancel=True),
     safety=Safety(
-        answer_slack=16 * MS, drain_grace=500 * MS, cold_from=0.19, cold_span=17 * SECOND,
-        fall_multiple=2.0, fall_span=1_500 * MS, ask_within=10 * SECOND,
+        answer_slack=16 * MS,
+        drain_grace=500 * MS,
+        cold_from=0.19,
+        cold_span=17 * SECOND,
+        fall_multiple=2.0,
+        fall_span=1_500 * MS,
+        ask_within=10 * SECOND,
     ),
     counter=Counter(time_limit=80 * MS),
     units_top=float(UNITS[1]),
-)  # fmt: skip
+)
 
 Holders = Callable[[str], Sequence[int]]  # the gateways, by index, that may send to a server of this name
 
@@ -396,8 +402,14 @@
     """A fleet on the virtual clock: clients, gateways, the counter, servers and news of them."""
 
     def __init__(
-        self, size: Size, seed: int, *, sample: Sequence[int] | None = None, zones: int = ZONES,
-        module: type[Gateway] = Gateway, settings: Settings = SETTINGS,
+        self,
+        size: Size,
+        seed: int,
+        *,
+        sample: Sequence[int] | None = None,
+        zones: int = ZONES,
+        module: type[Gateway] = Gateway,
+        settings: Settings = SETTINGS,
     ) -> None:
         """`sample`: the gateways that are emulated, all if None."""
         self.size, self.settings, self.zones = size, settings, zones
--- a/rushroad/bench/stand_ins/__main__.py
+++ b/rushroad/bench/stand_ins/__main__.py
@@ -37,9 +37,10 @@
         chance = random.Random(order["seed"])
         self.discovery = Discovery(order["servers"], address, gone, order["indent"], chance, loop)
         return {
-            "discovery": await self.discovery.listen(), "counter": await self.counter.listen(),
+            "discovery": await self.discovery.listen(),
+            "counter": await self.counter.listen(),
             "first_server": address(0),
-        }  # fmt: skip
+        }
 
     def do(self, order: dict[str, Any]) -> dict[str, Any]:
         """One order; its answer. KeyError or ValueError where there is no such order."""
--- a/rushroad/bench/stand_ins/discovery.py
+++ b/rushroad/bench/stand_ins/discovery.py
@@ -25,10 +25,15 @@
 def entry(server: int, address: str, started_at_ms: int = 0) -> Entry:
     """The list's line for a rate server that serves."""
     return {
-        "instanceId": f"s-{server:08x}", "hostPort": address, "zone": ZONES[server % len(ZONES)],
-        "machineType": KINDS[server % len(KINDS)], "cell": server % 7, "lifecycle": "SERVING", "weight": 1.0,
+        "instanceId": f"s-{server:08x}",
+        "hostPort": address,
+        "zone": ZONES[server % len(ZONES)],
+        "machineType": KINDS[server % len(KINDS)],
+        "cell": server % 7,
+        "lifecycle": "SERVING",
+        "weight": 1.0,
         "startedAtMs": started_at_ms,
-    }  # fmt: skip
+    }
 
 
 def whole_list(generation: int, entries: list[Entry], indent: int | None, reset: bool = True) -> bytes:
@@ -141,9 +146,7 @@
 
     async def listen(self) -> str:
         """Listen; returns the address."""
-        self._listener = await self._loop.create_server(
-            lambda: _Watch(self), "127.0.0.1", 0, backlog=BACKLOG
-        )
+        self._listener = await self._loop.create_server(lambda: _Watch(self), "127.0.0.1", 0, backlog=BACKLOG)
         self._beat()
         host, port = self._listener.sockets[0].getsockname()
         return f"{host}:{port}"
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -49,7 +49,7 @@
     State,
     Timer,
     Watch,
-)  # fmt: skip
+)
 from rushroad.policy.subsetting import SHARERS_FEW, Roster
 
 SECOND = 1_000_000  # microseconds
@@ -106,16 +106,39 @@
 
 def _window_length(plan: Plan) -> int:
     """Microseconds that a customer's count lives."""
-    return max(SECOND, min(NAME_LIFE // 2, int(WINDOW_BURSTS * plan.burst / plan.rate * SECOND))) \
-        if plan.rate > 0 else SECOND
+    return (
+        max(SECOND, min(NAME_LIFE // 2, int(WINDOW_BURSTS * plan.burst / plan.rate * SECOND)))
+        if plan.rate > 0
+        else SECOND
+    )
 
 
 class _Customer:
     """What this gateway knows of one customer's use. `debt` is units taken and not yet refilled, over all."""
 
-    __slots__ = ("at", "backlog", "burst", "ceiling", "debt", "excess", "full_until", "guess", "limit_at",
-                 "looks", "lost", "open", "over", "owed", "rate", "seen_others", "seen_own",
-                 "short_at", "spare", "unheard", "window")
+    __slots__ = (
+        "at",
+        "backlog",
+        "burst",
+        "ceiling",
+        "debt",
+        "excess",
+        "full_until",
+        "guess",
+        "limit_at",
+        "looks",
+        "lost",
+        "open",
+        "over",
+        "owed",
+        "rate",
+        "seen_others",
+        "seen_own",
+        "short_at",
+        "spare",
+        "unheard",
+        "window",
+    )
 
     def __init__(self, plan: Plan, window: SharedCount, now: int) -> None:
         self.burst, self.rate, self.debt, self.at = plan.burst, plan.rate, 0.0, now
@@ -219,8 +242,24 @@
 class _Server:
     """What this gateway knows of one server."""
 
-    __slots__ = ("abandoned", "answered_at", "aside", "cold_at", "cold_left", "errors", "guest", "kind",
-                 "limit", "line", "load", "load_at", "out", "pace", "seen", "trial")
+    __slots__ = (
+        "abandoned",
+        "answered_at",
+        "aside",
+        "cold_at",
+        "cold_left",
+        "errors",
+        "guest",
+        "kind",
+        "limit",
+        "line",
+        "load",
+        "load_at",
+        "out",
+        "pace",
+        "seen",
+        "trial",
+    )
 
     def __init__(self, line: Member, now: int, limit: _Limit, kind: _Kind) -> None:
         self.line, self.limit, self.kind = line, limit, kind
@@ -254,8 +293,18 @@
 class _Job:
     """A request that is owed its final answer."""
 
-    __slots__ = ("added", "aim_at", "attempts", "cls", "customer", "deadline", "held", "live", "ran",
-                 "request")
+    __slots__ = (
+        "added",
+        "aim_at",
+        "attempts",
+        "cls",
+        "customer",
+        "deadline",
+        "held",
+        "live",
+        "ran",
+        "request",
+    )
 
     def __init__(self, request: Request, cls: RequestClass, customer: _Customer, now: int) -> None:
         self.request, self.cls, self.customer = request, cls, customer
@@ -404,8 +453,9 @@
         """
         usual, votes = self._patience[request.cls]
         same = abs(request.time_left - usual) <= TRY_MATCH * cls.deadline
-        self._patience[request.cls] = (usual, votes + 1) if same else (
-            (request.time_left, 0) if votes <= 0 else (usual, votes - 1))
+        self._patience[request.cls] = (
+            (usual, votes + 1) if same else ((request.time_left, 0) if votes <= 0 else (usual, votes - 1))
+        )
         crowded = self._calling < 1.0 or (self._pooled is not None and self._credit < self._longest / 2)
         return 0 if same or not crowded or cls.late_worth >= 0.5 else cls.deadline - request.time_left
 
--- a/rushroad/policy/interface.py
+++ b/rushroad/policy/interface.py
@@ -1,4 +1,4 @@
-"""What a gateway tells the policy (events), what it is told to do (actions), and the settings of a deployment.
+"""The events that a gateway takes, the actions that it decides, and the settings of a deployment.
 
 All times and spans are whole microseconds on one monotonic clock that the gateways of a deployment share.
 Requests, servers and customers are named by ids that carry no meaning. Nothing is decided in this file.
--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -49,9 +49,15 @@
 WORD = re.compile(rb"[^\0- ]{1,128}")
 NUMBER = re.compile(rb"\d{1,9}")
 TERMS = {  # what may stand in a call's list, and how its value is spelt
-    b"c": WORD, b"t": WORD, b"k": WORD, b"d": NUMBER, b"r": re.compile(rb"[01]"),
-    b"units": re.compile(rb"\d{1,6}(\.\d{1,9})?"), b"spread": NUMBER, b"first": NUMBER,
-}  # fmt: skip
+    b"c": WORD,
+    b"t": WORD,
+    b"k": WORD,
+    b"d": NUMBER,
+    b"r": re.compile(rb"[01]"),
+    b"units": re.compile(rb"\d{1,6}(\.\d{1,9})?"),
+    b"spread": NUMBER,
+    b"first": NUMBER,
+}
 
 
 class BadCall(ValueError):
@@ -85,8 +91,22 @@
 class Call:
     """One command of a client, from its reading to its answer."""
 
-    __slots__ = ("arrived", "cls", "connection", "customer", "first", "id", "patience", "plan", "reply",
-                 "request", "retry", "spread", "units", "words")  # fmt: skip
+    __slots__ = (
+        "arrived",
+        "cls",
+        "connection",
+        "customer",
+        "first",
+        "id",
+        "patience",
+        "plan",
+        "reply",
+        "request",
+        "retry",
+        "spread",
+        "units",
+        "words",
+    )
 
     def __init__(self, connection: Connection, arrived: float) -> None:
         self.connection = connection
--- a/rushroad/simulator/adapter.py
+++ b/rushroad/simulator/adapter.py
@@ -1,6 +1,7 @@
 """Adapter between the simulator's wire and the decision module: framing and names, no decisions.
 
-Run as ``python -m rushroad.simulator.adapter``: batches of events on standard input, a reply to each on standard output.
+Run as ``python -m rushroad.simulator.adapter``: batches of events on standard input, a reply to each on
+standard output.
 """
 
 from __future__ import annotations
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -54,8 +54,12 @@
     tick=2 * MS,
     limits=Limits(max_attempts=4, may_cancel=True),
     safety=Safety(
-        answer_slack=8 * MS, drain_grace=250 * MS, cold_from=0.25, cold_span=16 * SECOND,
-        fall_multiple=2.0, fall_span=3 * SECOND,
+        answer_slack=8 * MS,
+        drain_grace=250 * MS,
+        cold_from=0.25,
+        cold_span=16 * SECOND,
+        fall_multiple=2.0,
+        fall_span=3 * SECOND,
     ),
     counter=Counter(time_limit=50 * MS),
     units_top=4.0,
@@ -140,8 +144,13 @@
         return self.feed(Members(kind, 1, lines))
 
     def request(
-        self, cls: int = REPEATABLE, plan: int = PLAIN, customer: int = CUSTOMER, units: float = 1.0,
-        time_left: int | None = None, entry_points: int = 1,
+        self,
+        cls: int = REPEATABLE,
+        plan: int = PLAIN,
+        customer: int = CUSTOMER,
+        units: float = 1.0,
+        time_left: int | None = None,
+        entry_points: int = 1,
     ) -> list[Action]:
         left = self.settings.classes[cls].deadline if time_left is None else time_left
         request = Request(self.next_id, cls, plan, customer, units, left, entry_points)
@@ -160,7 +169,10 @@
         return next(a for a in reversed(actions) if isinstance(a, Send))
 
     def outcome(
-        self, request: int, result: Result = Result.OK, attempt: int | None = None,
+        self,
+        request: int,
+        result: Result = Result.OK,
+        attempt: int | None = None,
         load: tuple[float, ...] = (),
     ) -> list[Action]:
         life = self.lives[request]
@@ -273,9 +285,10 @@
             return
         share = 1 / request.entry_points
         store, at = self.passed.get(request.customer, (plan.ceiling_burst * share, self.now))
-        store = min(
-            plan.ceiling_burst * share, store + plan.ceiling_rate * share * (self.now - at) / SECOND
-        ) - request.units
+        store = (
+            min(plan.ceiling_burst * share, store + plan.ceiling_rate * share * (self.now - at) / SECOND)
+            - request.units
+        )
         if store < -1e-6:
             raise RuleBroken("over this gateway's share of the ceiling")
         self.passed[request.customer] = (store, self.now)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -71,11 +71,20 @@
         micros = int(self.deadline * 1e6)
         return {
             "classes": [
-                {"name": name.decode(), "effect": effect, "gain": 1.0, "giveUpUs": micros, "group": "all",
-                 "goalTimeUs": int(micros * 0.8), "lateWorth": 0.0, "windowUs": micros, "streamed": False}
+                {
+                    "name": name.decode(),
+                    "effect": effect,
+                    "gain": 1.0,
+                    "giveUpUs": micros,
+                    "group": "all",
+                    "goalTimeUs": int(micros * 0.8),
+                    "lateWorth": 0.0,
+                    "windowUs": micros,
+                    "streamed": False,
+                }
                 for name, effect in EFFECTS.items()
             ],
-        }  # fmt: skip
+        }
 
     async def play(self) -> None:
         """The whole run."""
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -7,7 +7,6 @@
 
 from rushroad.policy.interface import Count, Counted, CountedLate, Result
 from rushroad.proxy import counter_client as counter
-from rushroad.proxy import discovery
 from rushroad.proxy.counter_client import Counter
 from tests.helpers import Driver, kinds
 from tests.net import LOCAL, Peer, run
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -26,9 +26,15 @@
 
 def line(generation: int, reset: bool = False, **fields: Any) -> bytes:
     entry = {
-        "instanceId": "s-1", "hostPort": "127.0.0.1:81", "zone": "room", "machineType": "box", "cell": 3,
-        "lifecycle": "SERVING", "weight": 1.0, "startedAtMs": 5,
-    }  # fmt: skip
+        "instanceId": "s-1",
+        "hostPort": "127.0.0.1:81",
+        "zone": "room",
+        "machineType": "box",
+        "cell": 3,
+        "lifecycle": "SERVING",
+        "weight": 1.0,
+        "startedAtMs": 5,
+    }
     text = {"generation": generation, "reset": reset, "instances": [entry | fields]}
     return json.dumps(text).encode() + b"\n"
 
@@ -237,10 +243,20 @@
 
 @pytest.mark.parametrize(
     "fields",
-    [{"reset": "false"}, {"reset": None}, {"generation": 1 << 80}, {"generation": -1},
-     {"generation": "43"}, {"generation": 43.0}, {"generation": True}, {"instances": {}},
-     {"instances": "none"}, {"instances": None}, {"reset": True, "instances": [3, {}]}],
-)  # fmt: skip
+    [
+        {"reset": "false"},
+        {"reset": None},
+        {"generation": 1 << 80},
+        {"generation": -1},
+        {"generation": "43"},
+        {"generation": 43.0},
+        {"generation": True},
+        {"instances": {}},
+        {"instances": "none"},
+        {"instances": None},
+        {"reset": True, "instances": [3, {}]},
+    ],
+)
 def test_an_odd_list_changes_nothing_and_the_watch_is_opened_again(fields: dict[str, Any]) -> None:
     # Taken for what it seems, it would leave nobody to send to, or make all later news look old.
     async def scenario(peer: Peer, told: Told, watch: Discovery) -> None:
@@ -289,9 +305,18 @@
 
 @pytest.mark.parametrize(
     "fields",
-    [{"lifecycle": "ODD"}, {"lifecycle": []}, {"hostPort": "here"}, {"hostPort": "h:99999"}, {"weight": "x"},
-     {"weight": float("nan")}, {"cell": None}, {"machineType": []}, {"startedAtMs": float("inf")}],
-)  # fmt: skip
+    [
+        {"lifecycle": "ODD"},
+        {"lifecycle": []},
+        {"hostPort": "here"},
+        {"hostPort": "h:99999"},
+        {"weight": "x"},
+        {"weight": float("nan")},
+        {"cell": None},
+        {"machineType": []},
+        {"startedAtMs": float("inf")},
+    ],
+)
 def test_an_entry_that_cannot_be_read_is_left_out_and_told(
     fields: dict[str, Any], capfd: pytest.CaptureFixture[str]
 ) -> None:
--- a/tests/test_fleetbench_load.py
+++ b/tests/test_fleetbench_load.py
@@ -9,9 +9,17 @@
 from tests.net import LOCAL, run
 
 ORDER = {
-    "rate": 1e6, "count": 40, "tenants": 5, "fleet": 9, "numbers": [0], "spread": 3, "patience_ms": 9_000,
-    "cls": "quote", "plan": "small", "seed": 3,
-}  # fmt: skip
+    "rate": 1e6,
+    "count": 40,
+    "tenants": 5,
+    "fleet": 9,
+    "numbers": [0],
+    "spread": 3,
+    "patience_ms": 9_000,
+    "cls": "quote",
+    "plan": "small",
+    "seed": 3,
+}
 
 
 async def play(order: dict[str, Any]) -> tuple[dict[str, Any], list[list[Any]]]:
--- a/tests/test_fleetbench_real.py
+++ b/tests/test_fleetbench_real.py
@@ -83,8 +83,9 @@
 def test_counter_bytes_has_a_row_for_each_size() -> None:
     record = play("counter-bytes", "--sizes", "1/3,2/6", "--rate", "50", "--seconds", "0.5")
     assert [(row["fleet"], row["servers"], row["requests"], row["served"]) for row in record["rows"]] == [
-        (1, 3, 25, 25), (2, 6, 25, 25),
-    ]  # fmt: skip
+        (1, 3, 25, 25),
+        (2, 6, 25, 25),
+    ]
 
 
 @pytest.mark.parametrize("words", [("cost-by-rate", "--rates", "0"), ("demo", "--size", "3")])
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -23,7 +23,7 @@
     Totals,
     kinds,
     line,
-)  # fmt: skip
+)
 
 FLEET = replace(SETTINGS, fleet_size=200)
 NO_COUNTER = replace(FLEET, counter=None)
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -171,8 +171,9 @@
         await watched.until(50)
         assert watched.named() == [f"s-{n}" for n in range(LONG)]
         assert [(m.first, m.last) for _, m in watched.news][:: len(watched.news) - 1] == [
-            (True, False), (False, True),
-        ]  # fmt: skip
+            (True, False),
+            (False, True),
+        ]
 
     play(scenario)
 
--- a/tests/test_meter.py
+++ b/tests/test_meter.py
@@ -16,7 +16,7 @@
     Totals,
     kinds,
     line,
-)  # fmt: skip
+)
 
 
 def test_units_are_added_before_the_request_goes_on() -> None:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -41,10 +41,15 @@
 def config(discovery: int, counter: int, listen: int) -> dict[str, Any]:
     server = {"instanceId": "s-1", "hostPort": "127.0.0.1:9", "lifecycle": "SERVING", "startedAtMs": 0}
     return {
-        "name": "n0", "listen": f"{GATEWAY}:{listen}", "discovery": f"127.0.0.1:{discovery}", "seed": "8c1f",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "counter": f"127.0.0.1:{counter}",
-        "known": {"generation": 41, "reset": True, "instances": [server]}, "settings": NAMED,
-    }  # fmt: skip
+        "name": "n0",
+        "listen": f"{GATEWAY}:{listen}",
+        "discovery": f"127.0.0.1:{discovery}",
+        "seed": "8c1f",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "counter": f"127.0.0.1:{counter}",
+        "known": {"generation": 41, "reset": True, "instances": [server]},
+        "settings": NAMED,
+    }
 
 
 def listener() -> socket.socket:
@@ -106,10 +111,18 @@
 
 @pytest.mark.parametrize(
     "text",
-    [None, "", "{nope", "[]", "{}", '{"settings": {}}', json.dumps(config(1, 1, 1) | {"listen": "here"}),
-     json.dumps(config(1, 1, 1) | {"seed": "xyz"}),
-     json.dumps(config(1, 1, 1) | {"settings": {"limits": 3}})],
-)  # fmt: skip
+    [
+        None,
+        "",
+        "{nope",
+        "[]",
+        "{}",
+        '{"settings": {}}',
+        json.dumps(config(1, 1, 1) | {"listen": "here"}),
+        json.dumps(config(1, 1, 1) | {"seed": "xyz"}),
+        json.dumps(config(1, 1, 1) | {"settings": {"limits": 3}}),
+    ],
+)
 def test_a_bad_configuration_gives_one_line_and_a_non_zero_exit(tmp_path: Path, text: str | None) -> None:
     with start(tmp_path, text) as process:
         out, err = process.communicate(timeout=60)
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -28,13 +28,29 @@
 @pytest.mark.parametrize(
     "data",
     [
-        b"h", b":1\r\n", b"*0\r\n", b"*-1\r\n", b"*4\r\n", b"*+1\r\n", b"* 1\r\n", b"*1_0\r\n", b"*\r\n",
-        b"*1\r\n:", b"*1\r\n$-1\r\n", b"*1\r\n*1\r\n", b"*2\r\n$1\r\nx\r\n*1\r\n", b"*1\r\n$x\r\n",
-        b"*1\r\n$65537\r\n", b"*1\r\n$3000000000\r\n", b"*1\r\n$-3\r\n", b"*99999999999999999",
-        b"*2\r\n$65536\r\n" + b"x" * MOST_VALUE + b"\r\n$65536\r\n", b"*1\r\n$1\r\nxyz",
+        b"h",
+        b":1\r\n",
+        b"*0\r\n",
+        b"*-1\r\n",
+        b"*4\r\n",
+        b"*+1\r\n",
+        b"* 1\r\n",
+        b"*1_0\r\n",
+        b"*\r\n",
+        b"*1\r\n:",
+        b"*1\r\n$-1\r\n",
+        b"*1\r\n*1\r\n",
+        b"*2\r\n$1\r\nx\r\n*1\r\n",
+        b"*1\r\n$x\r\n",
+        b"*1\r\n$65537\r\n",
+        b"*1\r\n$3000000000\r\n",
+        b"*1\r\n$-3\r\n",
+        b"*99999999999999999",
+        b"*2\r\n$65536\r\n" + b"x" * MOST_VALUE + b"\r\n$65536\r\n",
+        b"*1\r\n$1\r\nxyz",
         b"*1\r\n$1\r\nx\r\n*1000000000\r\n",
     ],
-)  # fmt: skip
+)
 def test_what_is_no_message_is_judged_at_its_first_line(data: bytes, answers: bool) -> None:
     # Guards memory: none of these waits for what it announces, or for the end of its line.
     reader = Reader(3, answers)
--- a/tests/test_rules_hold.py
+++ b/tests/test_rules_hold.py
@@ -25,7 +25,11 @@
 def deployments(draw: st.DrawFn) -> Settings:
     group = draw(st.sampled_from(list(Group)))
     keyed = RequestClass(
-        Effect.KEYED, aim=SECOND, deadline=3 * SECOND, worth=2.0, group=group,
+        Effect.KEYED,
+        aim=SECOND,
+        deadline=3 * SECOND,
+        worth=2.0,
+        group=group,
         key_memory=draw(st.sampled_from([200 * MS, 2 * SECOND])),
     )
     return replace(
@@ -63,8 +67,11 @@
         out = [(life.request.id, n) for life in driver.lives.values() for n in sorted(life.live)]
         if step == "request":
             driver.request(
-                cls=number % 3, plan=number // 3 % 5, customer=number // 15 % 4,
-                units=1.0 + number // 60 % 4, entry_points=3,
+                cls=number % 3,
+                plan=number // 3 % 5,
+                customer=number // 15 % 4,
+                units=1.0 + number // 60 % 4,
+                entry_points=3,
                 time_left=None if number % 7 else number % 50 * MS,
             )
         elif step == "outcome" and out:
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -116,9 +116,16 @@
 
 @pytest.mark.parametrize(
     "reply",
-    [b"what is this\r\n", OK + b"+more\r\n", OK + b"$9\r\nhal", OK + OK, b"*1\r\n$1\r\nx\r\n",
-     b"-ERR odd\r\n", b"-BUSY \xff\r\n"],
-)  # fmt: skip
+    [
+        b"what is this\r\n",
+        OK + b"+more\r\n",
+        OK + b"$9\r\nhal",
+        OK + OK,
+        b"*1\r\n$1\r\nx\r\n",
+        b"-ERR odd\r\n",
+        b"-BUSY \xff\r\n",
+    ],
+)
 def test_a_connection_that_says_too_much_is_closed(reply: bytes) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
@@ -479,10 +486,16 @@
         async def none_left(*_: object) -> None:
             raise OSError(errno.EMFILE, "too many open files")
 
-        monkeypatch.setattr(bench.servers, "loop", SimpleNamespace(
-            create_connection=none_left, create_task=asyncio.create_task, time=bench.servers.loop.time,
-            call_later=asyncio.get_running_loop().call_later,
-        ))  # fmt: skip
+        monkeypatch.setattr(
+            bench.servers,
+            "loop",
+            SimpleNamespace(
+                create_connection=none_left,
+                create_task=asyncio.create_task,
+                time=bench.servers.loop.time,
+                call_later=asyncio.get_running_loop().call_later,
+            ),
+        )
         bench.send()
         assert await bench.end() == (1, Result.NOT_SENT)
 
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -249,7 +249,9 @@
 @pytest.mark.parametrize("abrupt", [True, False])
 def test_what_waits_unread_behind_a_close_is_not_taken(monkeypatch: pytest.MonkeyPatch, abrupt: bool) -> None:
     # It would take its units of the quota, and perhaps be sent.
-    monkeypatch.setattr("rushroad.proxy.client_connection.LOOK", 60.0)  # answers make room before the next look
+    monkeypatch.setattr(
+        "rushroad.proxy.client_connection.LOOK", 60.0
+    )  # answers make room before the next look
 
     async def scenario() -> None:
         heard = Heard()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -50,7 +50,7 @@
     *[rule("getsockname", "ENOBUFS", first) for first in (1, 2)],
     *[rule("epoll_ctl", "ENOMEM", first) for first in (1, 2, 3, 4)],
     rule("epoll_wait", "EINTR", 1, FOR_EVER, 2),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("fault", START)
@@ -83,18 +83,36 @@
 
 # Calls of which one in three fails from when the gateway is ready, with errors that their pages name.
 SERVICE = [
-    *[("accept", error) for error in (
-        "ECONNABORTED", "EINTR", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTO", "EPERM", "ENETDOWN",
-        "EHOSTUNREACH", "ETIMEDOUT", "ENETUNREACH", "EOPNOTSUPP",
-    )],
+    *[
+        ("accept", error)
+        for error in (
+            "ECONNABORTED",
+            "EINTR",
+            "EMFILE",
+            "ENFILE",
+            "ENOBUFS",
+            "ENOMEM",
+            "EPROTO",
+            "EPERM",
+            "ENETDOWN",
+            "EHOSTUNREACH",
+            "ETIMEDOUT",
+            "ENETUNREACH",
+            "EOPNOTSUPP",
+        )
+    ],
     *[("connect", error) for error in ("EADDRNOTAVAIL", "EINTR", "EAGAIN")],
     *[("socket", error) for error in ("ENOBUFS", "ENOMEM", "EMFILE", "ENFILE")],
     *[("read", error) for error in ("EINTR", "EAGAIN")],
     *[("write", error) for error in ("EINTR", "EAGAIN")],
     *[("poll", error) for error in ("EINTR", "ENOMEM")],
-    ("epoll_wait", "EINTR"), ("epoll_ctl", "ENOMEM"), ("getsockname", "ENOBUFS"), ("setsockopt", "ENOBUFS"),
-    ("shutdown", "ENOTCONN"), ("shutdown", "ENOBUFS"),
-]  # fmt: skip
+    ("epoll_wait", "EINTR"),
+    ("epoll_ctl", "ENOMEM"),
+    ("getsockname", "ENOBUFS"),
+    ("setsockopt", "ENOBUFS"),
+    ("shutdown", "ENOTCONN"),
+    ("shutdown", "ENOBUFS"),
+]
 
 
 @pytest.mark.parametrize(("system_call", "error"), SERVICE)
@@ -142,9 +160,7 @@
 
 
 @pytest.mark.parametrize("error", ["ECONNABORTED", "EINTR", "EMFILE", "ENOBUFS", "EPROTO"])
-def test_a_connection_that_waits_at_the_stop_is_taken_though_accept_fails(
-    tmp_path: Path, error: str
-) -> None:
+def test_a_connection_that_waits_at_the_stop_is_taken_though_accept_fails(tmp_path: Path, error: str) -> None:
     # Its request has been taken by the machine; the listener's close would reset it.
     async def scenario() -> None:
         switch = tmp_path / "failing"
--- a/tests/test_true_units.py
+++ b/tests/test_true_units.py
@@ -45,16 +45,23 @@
 
 @pytest.mark.parametrize(
     ("figures", "units"),
-    [(b"used=37,cost=4", 4.0), (b"cost=1.5", 1.5), (b"used=37", None), (b"cost=-1", None), (b"cost=9", None),
-     (b"cost=nan", None), (b"costly=2", None), (b"\xff\x00", None), (b"cost=0", None)],
-)  # fmt: skip
+    [
+        (b"used=37,cost=4", 4.0),
+        (b"cost=1.5", 1.5),
+        (b"used=37", None),
+        (b"cost=-1", None),
+        (b"cost=9", None),
+        (b"cost=nan", None),
+        (b"costly=2", None),
+        (b"\xff\x00", None),
+        (b"cost=0", None),
+    ],
+)
 def test_figures_on_use_tell_the_true_units_or_nothing(figures: bytes, units: float | None) -> None:
     async def scenario() -> None:
         heard, loop = Heard(), asyncio.get_running_loop()
         async with Peer() as peer:
-            servers = Servers(
-                cast(Engine, heard), replace(FAST, units_settle=True), 60_000_000, 8, loop
-            )
+            servers = Servers(cast(Engine, heard), replace(FAST, units_settle=True), 60_000_000, 8, loop)
             servers.update(at(peer.port), True)
             servers.send(Attempt(1, 0, "s-1", held(10, 0), 0), LONG)
             await peer.answer(b"*3\r\n$5\r\nvalue\r\n$%d\r\n%b\r\n$-1\r\n" % (len(figures), figures))
--- a/tests/world.py
+++ b/tests/world.py
@@ -105,9 +105,15 @@
     def entry(self) -> dict[str, Any]:
         """Its line in the list."""
         return {
-            "instanceId": self.name, "hostPort": self.address, "zone": "room-a", "machineType": "full",
-            "cell": 1, "lifecycle": self.lifecycle, "weight": 1.0, "startedAtMs": self.started_at_ms,
-        }  # fmt: skip
+            "instanceId": self.name,
+            "hostPort": self.address,
+            "zone": "room-a",
+            "machineType": "full",
+            "cell": 1,
+            "lifecycle": self.lifecycle,
+            "weight": 1.0,
+            "startedAtMs": self.started_at_ms,
+        }
 
     def close(self) -> None:
         self._listener.close()
@@ -267,10 +273,15 @@
         """Write a gateway's configuration."""
         settings = bench_settings(self.gateways, number) | self.settings
         config = {
-            "name": f"n{number}", "listen": f"{HOST}:{self.ports[number]}", "discovery": self.agent.address,
-            "counter": self.counter_address, "seed": f"{number + 1:016x}", "known": self.agent.whole(),
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets}, "settings": settings,
-        }  # fmt: skip
+            "name": f"n{number}",
+            "listen": f"{HOST}:{self.ports[number]}",
+            "discovery": self.agent.address,
+            "counter": self.counter_address,
+            "seed": f"{number + 1:016x}",
+            "known": self.agent.whole(),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
+            "settings": settings,
+        }
         self.file(number).write_text(json.dumps(config | changed))
 
     def start(self, number: int = 0) -> subprocess.Popen[bytes]:
@@ -279,9 +290,13 @@
         env = {**os.environ, "EDGE_CONFIG": str(self.file(number)), **self.faults.get(number, {})}
         with (self.folder / f"n{number}.log").open("ab") as log:
             self.processes[number] = subprocess.Popen(
-                ["/bin/sh", "-c", f"ulimit -n {self.sockets}; {RUN}"], cwd=ROOT, env=env,
-                stdin=subprocess.DEVNULL, stdout=subprocess.DEVNULL, stderr=self.stderr or log,
-            )  # fmt: skip
+                ["/bin/sh", "-c", f"ulimit -n {self.sockets}; {RUN}"],
+                cwd=ROOT,
+                env=env,
+                stdin=subprocess.DEVNULL,
+                stdout=subprocess.DEVNULL,
+                stderr=self.stderr or log,
+            )
         return self.processes[number]
 
     async def ready(self, number: int = 0) -> None:
