--- a/tests/test_fleetbench_load.py
+++ b/tests/bench/test_load.py
@@ -6,7 +6,7 @@
 from rushroad.bench.load import Load, Pings
 from rushroad.bench.stand_ins.rate_servers import LATE, RateServers, server_address
 from rushroad.proxy.resp import Reader
-from tests.net import LOCAL, run
+from tests.support.loopback import LOCAL, run
 
 ORDER = {
     "rate": 1e6,
--- a/tests/soak.py
+++ b/tests/integration/soak.py
@@ -2,7 +2,7 @@
 
 Every rule is judged from outside, by what clients sent and got and by what came to rate servers:
 
-    python -m tests.soak --seeds 50 --first 1 --jobs 4
+    python -m tests.integration.soak --seeds 50 --first 1 --jobs 4
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 import uvloop
 
 from rushroad.bench.stand_ins.counter import Mode
-from tests.world import TICK, Client, World, call
+from tests.support.gateway_cluster import TICK, Client, World, call
 
 KILL_LEAST, KILL_MORE = 3.0, 0.7  # seconds: SIGKILL comes that long after SIGTERM at the earliest
 ANSWER_SLACK = 0.5  # seconds after its time from which a request is lost
--- a/tests/test_true_units.py
+++ b/tests/integration/test_actual_units.py
@@ -10,9 +10,9 @@
 from rushroad.bench.gateway_processes import settings
 from rushroad.proxy.engine import Attempt, Engine
 from rushroad.proxy.upstream import Servers
-from tests.net import Heard, Peer, run
-from tests.test_servers import FAST, LONG, at, held
-from tests.world import World, call
+from tests.proxy.test_upstream import FAST, LONG, at, held
+from tests.support.gateway_cluster import World, call
+from tests.support.loopback import Heard, Peer, run
 
 BURST, RATE, TRUE = 12.0, 1.0, 4
 PLAN = {"name": "small", "quotaRate": RATE, "mostAtOnce": BURST, "neverOverRate": 0.0}
--- a/tests/test_time_told.py
+++ b/tests/integration/test_arrival_times.py
@@ -7,8 +7,8 @@
 import pytest
 
 from rushroad.proxy.arrival_times import DRAIN, LARGE, Arrivals
-from tests.net import resp, run
-from tests.world import World, call
+from tests.support.gateway_cluster import World, call
+from tests.support.loopback import resp, run
 
 SLACK = 0.15  # seconds by which the time told may go beyond what the client has left
 LATE = 0.05  # seconds after its time in which an answer still counts
--- a/tests/test_largest_values.py
+++ b/tests/integration/test_largest_values.py
@@ -3,8 +3,8 @@
 from pathlib import Path
 
 from rushroad.bench.gateway_processes import settings
-from tests.net import run
-from tests.world import World, call
+from tests.support.gateway_cluster import World, call
+from tests.support.loopback import run
 
 LARGEST = 64 * 1024
 ORDER = settings(1, 0)["classes"][0] | {"name": "order", "effect": "once"}
--- a/tests/test_log.py
+++ b/tests/integration/test_nonblocking_log.py
@@ -6,8 +6,8 @@
 import signal
 from pathlib import Path
 
-from tests.net import run
-from tests.world import World, call
+from tests.support.gateway_cluster import World, call
+from tests.support.loopback import run
 
 PIPE_BYTES = 4_096
 LINES = 120  # more than such a pipe holds
--- a/tests/test_process.py
+++ b/tests/integration/test_process.py
@@ -15,10 +15,10 @@
 
 import pytest
 
-from tests.net import call
-from tests.test_drill import FACTS
+from tests.simulator.test_adapter import FACTS
+from tests.support.loopback import call
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
 NAMED = {
     **FACTS,
--- a/tests/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -1,7 +1,7 @@
 """A short, seeded soak; the long one is run by hand."""
 
-from tests.net import run_for
-from tests.soak import soak
+from tests.integration.soak import soak
+from tests.support.loopback import run_for
 
 SEEDS, JOBS = 6, 2
 
--- a/tests/test_standing_terms.py
+++ b/tests/integration/test_standing_terms.py
@@ -32,11 +32,21 @@
 from rushroad.proxy.discovery import Discovery
 from rushroad.proxy.engine import Engine
 from rushroad.proxy.upstream import Servers
-from tests.helpers import SETTINGS
-from tests.net import LOCAL, NAMES, TERMS, Heard, Peer, call, resp, run
-from tests.test_engine import Module
-from tests.test_process import GATEWAY, PATIENCE, RUN, accept, config, connect, free_port, listener, start
-from tests.test_servers import LONG, OK, at
+from tests.integration.test_process import (
+    GATEWAY,
+    PATIENCE,
+    RUN,
+    accept,
+    config,
+    connect,
+    free_port,
+    listener,
+    start,
+)
+from tests.proxy.test_engine import Module
+from tests.proxy.test_upstream import LONG, OK, at
+from tests.support.gateway_driver import SETTINGS
+from tests.support.loopback import LOCAL, NAMES, TERMS, Heard, Peer, call, resp, run
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close resets
 PING, PONG = resp(b"PING"), b"+PONG\r\n"
--- a/tests/test_stepped_clock.py
+++ b/tests/integration/test_stepped_clock.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from tests.faults import faults
-from tests.net import run
-from tests.world import Client, World, call
+from tests.support.faults import faults
+from tests.support.gateway_cluster import Client, World, call
+from tests.support.loopback import run
 
 HOUR = 3_600
 COLD_SHARE = 0.5  # of what a warm server gets in the mean; the cold one is allowed less than that at first
--- a/tests/test_system_calls.py
+++ b/tests/integration/test_system_calls.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from tests.faults import FOR_EVER, faults, rule
-from tests.net import run
-from tests.world import Agent, World, call
+from tests.support.faults import FOR_EVER, faults, rule
+from tests.support.gateway_cluster import Agent, World, call
+from tests.support.loopback import run
 
 PATIENCE_MS = 2_000
 CLIENTS, REQUESTS = 8, 10
--- a/tests/test_clock_lead.py
+++ b/tests/policy/test_clock_skew.py
@@ -4,7 +4,7 @@
 
 from rushroad.policy.clock_skew import ClockLead
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
-from tests.helpers import SECOND
+from tests.support.gateway_driver import SECOND
 
 SPAN = 17 * SECOND
 NOW = 10_000 * SECOND
--- a/tests/test_shared_count.py
+++ b/tests/policy/test_counter_window.py
@@ -6,7 +6,7 @@
 
 from rushroad.policy.actions import CounterAdd
 from rushroad.policy.counter_window import SharedCount
-from tests.helpers import MS, SECOND, START, Totals
+from tests.support.gateway_driver import MS, SECOND, START, Totals
 
 LENGTH, MARGIN = 8 * SECOND, 80 * MS
 NAME = 7
--- a/tests/test_attempts.py
+++ b/tests/policy/test_gateway.py
@@ -7,7 +7,7 @@
 from rushroad.policy.actions import CancelAttempt, CounterAdd, StartAttempt
 from rushroad.policy.events import EndpointState, EndpointUpdate, Result, UpdateKind
 from rushroad.policy.settings import DeduplicationScope, Idempotency, Limits, RequestClass
-from tests.helpers import (
+from tests.support.gateway_driver import (
     IDEMPOTENCY_KEY,
     IDEMPOTENT,
     MS,
--- a/tests/test_rules_hold.py
+++ b/tests/policy/test_invariants.py
@@ -7,7 +7,7 @@
 
 from rushroad.policy.events import EndpointState, Result, UpdateKind
 from rushroad.policy.settings import DeduplicationScope, Idempotency, Limits, Plan, RequestClass, Settings
-from tests.helpers import MS, SECOND, SETTINGS, Driver, line
+from tests.support.gateway_driver import MS, SECOND, SETTINGS, Driver, line
 
 RESULTS = list(Result)
 
--- a/tests/test_large_fleets.py
+++ b/tests/policy/test_large_fleets.py
@@ -11,7 +11,7 @@
 from rushroad.policy.gateway import _Server
 from rushroad.policy.settings import Idempotency
 from rushroad.policy.subsetting import SERVERS_LEAST, SERVERS_MOST
-from tests.helpers import (
+from tests.support.gateway_driver import (
     CEILING,
     IDEMPOTENCY_KEY,
     IDEMPOTENT,
--- a/tests/test_meter.py
+++ b/tests/policy/test_quota.py
@@ -7,7 +7,7 @@
 from rushroad.policy.actions import CounterAdd, Reject
 from rushroad.policy.events import AttemptOutcome, EndpointState, Result, UpdateKind
 from rushroad.policy.settings import CounterSettings, Plan
-from tests.helpers import (
+from tests.support.gateway_driver import (
     CEILING,
     IDEMPOTENT,
     MS,
--- a/tests/test_cold_fleet.py
+++ b/tests/policy/test_slow_start.py
@@ -6,7 +6,7 @@
 import pytest
 
 from rushroad.policy.actions import StartAttempt
-from tests.helpers import MS, SECOND, SETTINGS, Driver, line
+from tests.support.gateway_driver import MS, SECOND, SETTINGS, Driver, line
 
 GATEWAYS, SERVERS = 25, 10
 TURN = 100 * MS  # each gateway has one request in this time, two in a burst
--- a/tests/test_subset.py
+++ b/tests/policy/test_subsetting.py
@@ -10,7 +10,7 @@
 from rushroad.policy.gateway import SHARE_PART, Gateway
 from rushroad.policy.settings import DeduplicationScope, Idempotency, Plan
 from rushroad.policy.subsetting import SERVERS_MOST, SHARE_STEP, Roster, holders, picks, sharers
-from tests.helpers import IDEMPOTENCY_KEY, MS, SECOND, SETTINGS, START, Driver
+from tests.support.gateway_driver import IDEMPOTENCY_KEY, MS, SECOND, SETTINGS, START, Driver
 
 FREE = replace(SETTINGS, counter=None, plans=(Plan(),), fleet_size=200)  # nothing but servers limits it
 
--- a/tests/test_clients.py
+++ b/tests/proxy/test_client_connection.py
@@ -10,7 +10,7 @@
 
 from rushroad.proxy.client_connection import MOST_OPEN, Clients, Connection
 from rushroad.proxy.engine import Engine
-from tests.net import LOCAL, TENANT, TERMS, Heard, call, resp, run
+from tests.support.loopback import LOCAL, TENANT, TERMS, Heard, call, resp, run
 
 PING, PONG = resp(b"PING"), b"+PONG\r\n"
 Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
--- a/tests/test_counter.py
+++ b/tests/proxy/test_counter_client.py
@@ -9,8 +9,8 @@
 from rushroad.policy.events import CounterReply, LateCounterReply, Result
 from rushroad.proxy import counter_client as counter
 from rushroad.proxy.counter_client import Counter
-from tests.helpers import Driver, kinds
-from tests.net import LOCAL, Peer, run
+from tests.support.gateway_driver import Driver, kinds
+from tests.support.loopback import LOCAL, Peer, run
 
 LIMIT = 50_000  # microseconds
 LONG = 10_000_000
--- a/tests/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -12,7 +12,7 @@
 from rushroad.proxy import discovery as module
 from rushroad.proxy.discovery import Address, Discovery
 from rushroad.proxy.nonblocking_log import _Log
-from tests.net import LOCAL, NAMES, Late, Peer, run
+from tests.support.loopback import LOCAL, NAMES, Late, Peer, run
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 Told = asyncio.Queue[tuple[EndpointUpdate, list[tuple[Endpoint, Address]]]]
--- a/tests/test_long_lists.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -20,10 +20,10 @@
 from rushroad.proxy.json_splitter import RUN, Cutter, Run
 from rushroad.proxy.nonblocking_log import _Log
 from rushroad.proxy.upstream import Connection, Servers
-from tests.net import LOCAL, NAMES, Heard, Peer, call, run
-from tests.test_discovery import HEAD, chunk, line
-from tests.test_process import config, connect, free_port, start
-from tests.test_servers import FAST, OK, held
+from tests.integration.test_process import config, connect, free_port, start
+from tests.proxy.test_discovery import HEAD, chunk, line
+from tests.proxy.test_upstream import FAST, OK, held
+from tests.support.loopback import LOCAL, NAMES, Heard, Peer, call, run
 
 LONG = 20_000  # entries
 News = list[tuple[int, EndpointUpdate]]  # the turn of the loop in which it came, and what
--- a/tests/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -36,9 +36,9 @@
 from rushroad.proxy.client_connection import Clients
 from rushroad.proxy.engine import Clock, Engine
 from rushroad.proxy.upstream import Servers
-from tests.helpers import SETTINGS
-from tests.net import LOCAL, TERMS, Late, Peer, call, resp, run
-from tests.test_servers import LONG, OK, at
+from tests.proxy.test_upstream import LONG, OK, at
+from tests.support.gateway_driver import SETTINGS
+from tests.support.loopback import LOCAL, TERMS, Late, Peer, call, resp, run
 
 Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 Script = Callable[[Event], Iterator[Action]]
--- a/tests/test_servers.py
+++ b/tests/proxy/test_upstream.py
@@ -13,8 +13,8 @@
 from rushroad.policy.settings import Limits
 from rushroad.proxy.engine import Attempt, Engine
 from rushroad.proxy.upstream import Ages, Servers
-from tests.helpers import IDEMPOTENT, NOT_IDEMPOTENT, SETTINGS
-from tests.net import LOCAL, Heard, Late, Peer, resp, run
+from tests.support.gateway_driver import IDEMPOTENT, NOT_IDEMPOTENT, SETTINGS
+from tests.support.loopback import LOCAL, Heard, Late, Peer, resp, run
 
 OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$18\r\ninflight=7,queue=2\r\n"
 LONG = 10_000_000  # microseconds
--- a/tests/test_drill.py
+++ b/tests/simulator/test_adapter.py
@@ -97,7 +97,8 @@
     event = drill.read_outcome(drill.Drill(), reader.take(drill.EVENTS[12][1]), reader)
     assert repr(event) == (
         "AttemptOutcome(request_id=1564119492, attempt=0, endpoint='10.18.74.7:5003', "
-        "result=<Result.OK: 'ok'>, elapsed=18500, final=True, used_percent=85, actual_units=3.0, load_report=(3.0, 7.0))"
+        "result=<Result.OK: 'ok'>, elapsed=18500, final=True, used_percent=85, actual_units=3.0, "
+        "load_report=(3.0, 7.0))"
     )
 
 
--- a/tests/world.py
+++ b/tests/support/gateway_cluster.py
@@ -22,7 +22,7 @@
 from rushroad.bench.stand_ins.counter import Counter
 from rushroad.bench.stand_ins.replies import Replies, Reply
 from rushroad.proxy import resp
-from tests.test_process import PATIENCE, ROOT, RUN
+from tests.integration.test_process import PATIENCE, ROOT, RUN
 
 HOST = "127.91.0.2"  # where the gateways listen: nothing else takes ports there
 TICK = 0.01  # seconds between looks at how late this process itself is
