--- a/rushroad/policy/endpoint_updates.py
+++ b/rushroad/policy/endpoint_updates.py
@@ -57,11 +57,11 @@
             self._schedule_watch_retry()
             return
         is_cached = update.kind is UpdateKind.CACHED_SNAPSHOT
-        if is_cached and update.last and self._settings.polls_endpoints:
+        if is_cached and update.is_last_part and self._settings.polls_endpoints:
             self._outbox.add(WatchEndpoints(enabled=True))
         self._clock_skew.observe(update, now)
         changed = self._table.apply(update)
-        is_complete = update.last or update.kind is UpdateKind.DELTA
+        is_complete = update.is_last_part or update.kind is UpdateKind.DELTA
         is_resized = is_complete and self._table.resize_subset()
         if is_resized:
             self._start_review(now)
@@ -69,7 +69,7 @@
             if not is_resized or entry.name in self._endpoints:  # the review finds the others
                 self._endpoints.update(entry, now)
         self.refresh(now)
-        if update.last:
+        if update.is_last_part:
             starts = [endpoint.entry.started_at for endpoint in self._endpoints.ready]
             self._clock_skew.check_plausible(starts, now, self._settings.safety.warm_up_time)
 
--- a/rushroad/policy/endpoints.py
+++ b/rushroad/policy/endpoints.py
@@ -41,12 +41,12 @@
     def apply(self, update: EndpointUpdate) -> list[Endpoint]:
         """Take in an update; the entries that are new or changed, with those removed as REMOVED."""
         is_snapshot = update.kind is not UpdateKind.DELTA
-        if is_snapshot and update.first:
+        if is_snapshot and update.is_first_part:
             self._unconfirmed = set(self._positions)
         changed = [endpoint for endpoint in update.endpoints if self._put(endpoint)]
         if is_snapshot:
             self._unconfirmed.difference_update([endpoint.name for endpoint in update.endpoints])
-            if update.last:
+            if update.is_last_part:
                 changed += self._remove_unconfirmed()
         return changed
 
--- a/rushroad/policy/events.py
+++ b/rushroad/policy/events.py
@@ -120,17 +120,17 @@
 
 
 class EndpointUpdate(msgspec.Struct, frozen=True, gc=False):
-    """An update of the endpoint list. A long snapshot comes in parts, marked by `first` and `last`.
+    """An update of the endpoint list; a long snapshot is split into several parts.
 
-    Each part holds from its arrival; what no part of a snapshot names is removed after the last one. A first
-    part starts a new snapshot, also where the last part of the one before never came.
+    Each part takes effect on arrival. Endpoints that no part of a snapshot contains are removed after its
+    last part. A first part starts a new snapshot, even if the last part of the previous one never arrived.
     """
 
     kind: UpdateKind
     version: int
     endpoints: tuple[Endpoint, ...]
-    first: bool = True
-    last: bool = True
+    is_first_part: bool = True
+    is_last_part: bool = True
 
 
 class HealthCheckReply(msgspec.Struct, frozen=True, gc=False):
--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -45,7 +45,7 @@
 
     def apply_update(update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
         is_full = update.kind is not UpdateKind.DELTA
-        upstream.update_endpoints(listed, is_full, update.first, update.last)
+        upstream.update_endpoints(listed, is_full, update.is_first_part, update.is_last_part)
         engine.endpoints_updated(update)
         freezer.entries_added(len(listed))
 
--- a/rushroad/proxy/endpoint_decoder.py
+++ b/rushroad/proxy/endpoint_decoder.py
@@ -258,8 +258,8 @@
             kind,
             version,
             tuple([endpoint for endpoint, _ in listed]),
-            first=is_first_part or is_delta,
-            last=ends_list or is_delta,
+            is_first_part=is_first_part or is_delta,
+            is_last_part=ends_list or is_delta,
         )
         return ListPart(update, listed, ends_list)
 
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -16,10 +16,10 @@
     table, endpoints = EndpointTable(0, 3, index_cells=False), ready_endpoints(30)
     table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 1, endpoints))
     # This snapshot is broken off; the next first part begins a new one.
-    assert table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[:10], last=False)) == []
-    table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[10:20], last=False))
-    assert table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[:15], last=False)) == []
-    removed = table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[15:28], first=False))
+    assert table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[:10], is_last_part=False)) == []
+    table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[10:20], is_last_part=False))
+    assert table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[:15], is_last_part=False)) == []
+    removed = table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[15:28], is_first_part=False))
     assert {endpoint.name for endpoint in removed} == {endpoint.name for endpoint in endpoints[28:]}
     assert {endpoint.state for endpoint in removed} == {EndpointState.REMOVED}
     assert table.ready_count == 28
@@ -35,7 +35,7 @@
         if endpoint.name in subset
     ][:3]
     driver.rules.unavailable_since.update((endpoint.name, driver.now) for endpoint in draining)
-    driver.handle(EndpointUpdate(UpdateKind.SNAPSHOT, 2, tuple(draining), last=False))
+    driver.handle(EndpointUpdate(UpdateKind.SNAPSHOT, 2, tuple(draining), is_last_part=False))
     driver.wait(1 * SECOND)
     for tenant in range(30):
         driver.admit(tenant=tenant)  # the driver raises on an attempt to a draining endpoint
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -61,7 +61,7 @@
 
     async def scenario(watch: Watch) -> None:
         def fail_on_a_later_part(update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
-            if update.first:
+            if update.is_first_part:
                 watch.on_update(update, listed)
                 return
             watch.discovery._on_update = watch.on_update
@@ -179,7 +179,7 @@
             watch.peer.writers[0].close()
         assert b"from=41 " in await watch.next_request()
         assert watch.endpoint_names() == [f"s-{n}" for n in range(9000)]
-        assert not any(update.last for update in watch.updates)
+        assert not any(update.is_last_part for update in watch.updates)
         assert watch.discovery.version == 41
 
     play_watch(scenario)
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -56,16 +56,18 @@
         assert watch.endpoint_names() == [f"s-{n}" for n in range(LONG_LIST)]
         assert max(len(update.endpoints) for update in updates) <= MAX_ENDPOINTS_PER_PART
         assert len(set(watch.turns)) == len(watch.turns) >= LONG_LIST / MAX_ENDPOINTS_PER_PART
-        assert updates[-1].last
+        assert updates[-1].is_last_part
         listed = [endpoint for update in updates for endpoint in update.endpoints]
         draining = [endpoint.name for endpoint in listed if endpoint.state is EndpointState.DRAINING]
         assert draining == [f"s-{LONG_LIST - 1}"]
         if reset:
             assert {update.kind for update in updates} == {UpdateKind.SNAPSHOT}
-            assert [update.first for update in updates] == [True] + [False] * (len(updates) - 1)
-            assert [update.last for update in updates] == [False] * (len(updates) - 1) + [True]
+            assert [update.is_first_part for update in updates] == [True] + [False] * (len(updates) - 1)
+            assert [update.is_last_part for update in updates] == [False] * (len(updates) - 1) + [True]
         else:  # each is whole in itself
-            assert {(u.kind, u.first, u.last) for u in updates} == {(UpdateKind.DELTA, True, True)}
+            assert {(u.kind, u.is_first_part, u.is_last_part) for u in updates} == {
+                (UpdateKind.DELTA, True, True)
+            }
 
     play_watch(scenario)
 
@@ -103,7 +105,10 @@
         await watch.until_version(LONG_LIST_VERSION)
         assert watch.endpoint_names() == [f"s-{n}" for n in range(LONG_LIST)]
         first, last = watch.updates[0], watch.updates[-1]
-        assert [(first.first, first.last), (last.first, last.last)] == [(True, False), (False, True)]
+        assert [(first.is_first_part, first.is_last_part), (last.is_first_part, last.is_last_part)] == [
+            (True, False),
+            (False, True),
+        ]
 
     play_watch(scenario)
 
@@ -120,7 +125,7 @@
         assert b"from=41 " in await watch.next_request()
         assert (len(watch.endpoint_names()) > min_passed_on) is (min_passed_on > 0)
         assert len(watch.endpoint_names()) < LONG_LIST / 2
-        assert not any(update.last for update in watch.updates)
+        assert not any(update.is_last_part for update in watch.updates)
 
     play_watch(scenario, memory_limit=6 << 20)
     err = capfd.readouterr().err
