--- a/rushroad/policy/load_balancer.py
+++ b/rushroad/policy/load_balancer.py
@@ -43,7 +43,7 @@
         retry_policy: RetryPolicy,
         random: Random,
     ) -> None:
-        self._has_weights = settings.endpoint_weights
+        self._has_weights = settings.uses_endpoint_weights
         self._report_fields = settings.load_report_fields
         self._endpoints = endpoints
         self._limiter = limiter
--- a/rushroad/policy/load_shedding.py
+++ b/rushroad/policy/load_shedding.py
@@ -54,7 +54,7 @@
 
     def priority_deficit(self, pending: PendingRequest) -> float:
         """Return how far a request's value for its work is below the mean: from 0 to 1 (over the quota)."""
-        weight = pending.request_class.priority_weight * pending.plan.price
+        weight = pending.request_class.priority_weight * pending.plan.weight_multiplier
         value = weight / (self._latency.typical(pending.request.class_index) or self._longest_objective)
         self._mean_value += SMOOTHING * (value - self._mean_value)
         return 1.0 if pending.is_over_quota else max(0.0, 1.0 - value / self._mean_value)
--- a/rushroad/policy/settings_reader.py
+++ b/rushroad/policy/settings_reader.py
@@ -124,7 +124,7 @@
         counter=_read_counter(extra) if extra.optional("counter", False) else None,
         max_units=extra.optional("unitsTop", 1),
         settles_units=extra.optional("truedUp", False),
-        endpoint_weights=root.optional("weights", "off") in WEIGHTS_IN_USE,
+        uses_endpoint_weights=root.optional("weights", "off") in WEIGHTS_IN_USE,
         polls_endpoints=root.optional("registryMode", None) == "subscribe",
         load_report_fields=load_report.strings("fields"),
         load_reports_by_health_check=load_report.optional("via", None) == "on_probe",
@@ -152,7 +152,7 @@
         ceiling_rate=section.optional("neverOverRate", 0.0),
         ceiling_burst=section.optional("ceilingBurst", 0.0),
         ceiling_slack=section.optional("hardSlack", 0.0),
-        price=section.optional("pays", 1.0),
+        weight_multiplier=section.optional("pays", 1.0),
         overage_weight=section.optional("beyondEarns", 0.0),
         overage_cost=section.optional("overCost", 0.0),
     )
@@ -165,7 +165,7 @@
         cancellation_allowed=section.optional("mayCancel", False),
         health_checks_allowed=section.optional("probing", False),
         peer_messages_allowed=section.optional("peers", False),
-        retry_after=section.optional("retryAfter", False),
+        retry_after_allowed=section.optional("retryAfter", False),
         max_retry_after=section.optional("maxRetryAfterUs", 0),
         connect_timeout=section.optional("connectTimeoutUs", 0),
     )
@@ -184,7 +184,9 @@
 
 
 def _read_counter(section: _Section) -> CounterSettings:
-    return CounterSettings(timeout=section.required("countLimitUs"), price=section.optional("callPrice", 0.0))
+    return CounterSettings(
+        timeout=section.required("countLimitUs"), call_cost=section.optional("callPrice", 0.0)
+    )
 
 
 @dataclass(frozen=True, slots=True)
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -236,7 +236,7 @@
 
     def _answer_rejected(self, action: Reject) -> None:
         if (request := self._finish(action.request_id)) is not None:
-            request.call.reject(action.retry_after if self._settings.limits.retry_after else 0)
+            request.call.reject(action.retry_after if self._settings.limits.retry_after_allowed else 0)
         self._requests.pop(action.request_id, None)
 
     def _answer_failed(self, action: Fail) -> None:
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -35,7 +35,7 @@
             cancellation_allowed=draw(st.booleans()),
         ),
         settles_units=draw(st.booleans()),
-        endpoint_weights=draw(st.booleans()),
+        uses_endpoint_weights=draw(st.booleans()),
     )
 
 
--- a/tests/policy/test_settings_reader.py
+++ b/tests/policy/test_settings_reader.py
@@ -43,7 +43,7 @@
     assert (request_class.latency_objective, request_class.deadline) == (600_000, 900_000)
     assert (request_class.priority_weight, request_class.late_weight) == (2.0, 0.0)
     assert request_class.deduplication_scope is DeduplicationScope.ALL
-    assert (plan.rate, plan.burst, plan.concurrency, plan.price) == (0.0, 0.0, 0, 1.0)
+    assert (plan.rate, plan.burst, plan.concurrency, plan.weight_multiplier) == (0.0, 0.0, 0, 1.0)
     assert (settings.fleet_size, settings.gateway_index, settings.tick) == (2, 1, 1_000)
     assert settings.limits.max_attempts == 3
     assert not settings.limits.hedging_allowed
@@ -51,7 +51,7 @@
     assert settings.counter is None
     assert settings.load_report_fields == ()
     assert not settings.polls_endpoints
-    assert not settings.endpoint_weights
+    assert not settings.uses_endpoint_weights
 
 
 @pytest.mark.parametrize(
