--- a/rushroad/policy/__init__.py
+++ b/rushroad/policy/__init__.py
@@ -1,1 +1,4 @@
-"""The decisions of a gateway: events in, actions out, with no I/O."""
+"""The policy of a gateway: turns events into actions, without I/O.
+
+All timestamps and durations are whole microseconds.
+"""
--- a/rushroad/policy/actions.py
+++ b/rushroad/policy/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the decision policy asks for. All spans are whole microseconds."""
+"""The actions that the policy requests. All durations are whole microseconds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class StartAttempt(msgspec.Struct, frozen=True, gc=False):
-    """Forward a request to an endpoint; its attempts are numbered 0, 1, 2... in their order."""
+    """Forward a request to an endpoint; the attempts of a request are numbered from 0."""
 
     request_id: int
     endpoint: str
@@ -23,20 +23,20 @@
 
 
 class Reject(msgspec.Struct, frozen=True, gc=False):
-    """Final answer: rejected, and a retry does no harm."""
+    """Final answer: the request is rejected, and the client may safely retry it."""
 
     request_id: int
     retry_after: int = 0
 
 
 class Fail(msgspec.Struct, frozen=True, gc=False):
-    """Final answer: failed; says nothing of whether the request was executed."""
+    """Final answer: the request has failed, and may or may not have been executed."""
 
     request_id: int
 
 
 class CounterAdd(msgspec.Struct, frozen=True, gc=False):
-    """Add to a named number on the counter service; `lifetime` holds from the first add on."""
+    """Add to a named counter of the counter service, which expires `lifetime` after its first add."""
 
     name: int
     amount: float
@@ -44,7 +44,7 @@
 
 
 class SetTimer(msgspec.Struct, frozen=True, gc=False):
-    """Ask for a TimerFired event after this span."""
+    """Request a TimerFired event after this delay."""
 
     delay: int
     token: int
@@ -57,20 +57,20 @@
 
 
 class SendPeerMessage(msgspec.Struct, frozen=True, gc=False):
-    """Send a message to another gateway, or to all."""
+    """Send a message to another gateway, or to all others if `recipient` is None."""
 
     recipient: int | None
     data: bytes
 
 
 class WatchEndpoints(msgspec.Struct, frozen=True, gc=False):
-    """Ask the discovery service for updates from now on, or stop them."""
+    """Start or stop a watch of the endpoint list at the discovery service."""
 
     enabled: bool
 
 
 class FetchEndpoints(msgspec.Struct, frozen=True, gc=False):
-    """Ask the discovery service for one snapshot of the endpoint list."""
+    """Request one snapshot of the endpoint list from the discovery service."""
 
 
 class CloseIdleConnections(msgspec.Struct, frozen=True, gc=False):
@@ -80,7 +80,7 @@
 
 
 class WriteLog(msgspec.Struct, frozen=True, gc=False):
-    """Write a line to the operators' log."""
+    """Write a line to the operator's log."""
 
     text: str
 
--- a/rushroad/policy/durations.py
+++ b/rushroad/policy/durations.py
@@ -1,3 +1,3 @@
-"""Units of time."""
+"""Units of time for the policy, in microseconds."""
 
-SECOND = 1_000_000  # microseconds
+SECOND = 1_000_000
--- a/rushroad/policy/events.py
+++ b/rushroad/policy/events.py
@@ -1,7 +1,7 @@
-"""The events that the decision policy takes.
+"""The events that the policy handles.
 
-All times and spans are whole microseconds on one monotonic clock that the gateways of a deployment share.
-Requests, endpoints and tenants are identified by values that carry no meaning.
+All timestamps and durations are whole microseconds on one monotonic clock that the gateways of a deployment
+share. Identifiers of requests, endpoints and tenants are opaque.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
     """How an attempt, a health check or a counter call ended."""
 
     OK = "ok"
-    ERROR = "error"  # an error response; it may have been executed
+    ERROR = "error"  # an error response; the request may have been executed
     OVERLOADED = "overloaded"  # rejected before execution
-    TIMEOUT = "timeout"  # no response in time; it may have been executed, or still be
-    CONNECT_FAILED = "connect failed"  # never reached the endpoint
-    RESET = "reset"  # the connection broke; it may have been executed
-    CANCELLED = "cancelled"  # by this gateway; it may have been executed
-    NOT_FORWARDED = "not forwarded"  # the request was over, or had no attempts left
+    TIMEOUT = "timeout"  # no response in time; the request may have been executed, or be executing still
+    CONNECT_FAILED = "connect failed"  # the request never reached the endpoint
+    RESET = "reset"  # the connection broke; the request may have been executed
+    CANCELLED = "cancelled"  # cancelled by this gateway; the request may have been executed
+    NOT_FORWARDED = "not forwarded"  # the request was already over, or had no attempts left
 
     @property
     def proven_not_executed(self) -> bool:
-        """True where the result proves that nothing was executed."""
+        """Whether the result proves that the request was not executed."""
         return self in (Result.OVERLOADED, Result.CONNECT_FAILED, Result.NOT_FORWARDED)
 
 
 class EndpointState(IntEnum):
-    """State of an endpoint in the endpoint list."""
+    """The state of an endpoint in the endpoint list."""
 
     REMOVED = 1
     READY = 2
@@ -39,44 +39,44 @@
 
 
 class UpdateKind(IntEnum):
-    """What an update of the endpoint list holds."""
+    """What an endpoint update contains."""
 
     DELTA = 0
     SNAPSHOT = 1
-    CACHED_SNAPSHOT = 2  # the list as this gateway last had it, perhaps stale
-    FAILED = 3  # a call to the discovery service failed; no endpoints
+    CACHED_SNAPSHOT = 2  # the last list that this gateway received, possibly stale
+    FAILED = 3  # a call to the discovery service failed; the update has no endpoints
 
 
 class Request(msgspec.Struct, frozen=True, gc=False):
-    """A client's request has arrived and is owed one final answer."""
+    """A client's request has arrived; it must get exactly one final answer."""
 
     id: int
     class_index: int  # into Settings.request_classes
     plan_index: int  # into Settings.plans
     tenant: int
     units: float
-    time_remaining: int  # until the client gives this request up
-    entry_points: int = 1  # gateways that this tenant's requests can come through
-    first_entry: int = 0  # the first of them; the rest follow in order
-    is_retry: bool = False  # marked by the client as a repeat
+    time_remaining: int  # until the client stops waiting for this request
+    entry_points: int = 1  # number of gateways that receive requests of this tenant
+    first_entry: int = 0  # index of the first of them; the others follow in order
+    is_retry: bool = False  # marked as a retry by the client
 
 
 class AttemptOutcome(msgspec.Struct, frozen=True, gc=False):
-    """How an attempt ended; each StartAttempt gets exactly one."""
+    """The end of an attempt; exactly one follows each StartAttempt."""
 
     request_id: int
     attempt: int
     endpoint: str
     result: Result
     elapsed: int
-    final: bool  # the request is over, by this outcome or before it
-    used_percent: int | None = None  # the tenant's use over all gateways, where endpoints meter it
+    final: bool  # the request is over, because of this outcome or already before it
+    used_percent: int | None = None  # the tenant's use across all gateways, if endpoints meter it
     actual_units: float | None = None
     load_report: tuple[float, ...] = ()  # in the order of Settings.load_report_fields
 
 
 class ResponseStarted(msgspec.Struct, frozen=True, gc=False):
-    """A streamed response has begun: the attempt is bound to the client from now on."""
+    """A streamed response has started, so the client's answer must come from this attempt."""
 
     request_id: int
     attempt: int
@@ -85,7 +85,7 @@
 
 
 class CounterReply(msgspec.Struct, frozen=True, gc=False):
-    """The reply to one CounterAdd."""
+    """The reply to a CounterAdd."""
 
     name: int
     result: Result
@@ -94,7 +94,7 @@
 
 
 class LateCounterReply(msgspec.Struct, frozen=True, gc=False):
-    """The total of a CounterAdd that was reported as TIMEOUT before. It may never come."""
+    """The total for a CounterAdd already reported as TIMEOUT; it may never arrive."""
 
     name: int
     amount: float
@@ -102,7 +102,7 @@
 
 
 class ClientDisconnected(msgspec.Struct, frozen=True, gc=False):
-    """The client has closed its connection; no answer is owed for this request any more."""
+    """The client has closed its connection; the request needs no answer any more."""
 
     request_id: int
 
@@ -115,12 +115,12 @@
     endpoint_class: int = 0
     zone: int = 0
     cell: int = 0
-    started_at: int = 0  # 0: long ago
+    started_at: int = 0  # 0: started long ago
     weight: float = 1.0
 
 
 class EndpointUpdate(msgspec.Struct, frozen=True, gc=False):
-    """An update of the endpoint list; a long snapshot is split into several parts.
+    """An update of the endpoint list; a long snapshot arrives in several parts.
 
     Each part takes effect on arrival. Endpoints that no part of a snapshot contains are removed after its
     last part. A first part starts a new snapshot, even if the last part of the previous one never arrived.
@@ -134,7 +134,7 @@
 
 
 class HealthCheckReply(msgspec.Struct, frozen=True, gc=False):
-    """The reply to one CheckHealth."""
+    """The reply to a CheckHealth."""
 
     endpoint: str
     result: Result
@@ -150,7 +150,7 @@
 
 
 class TimerFired(msgspec.Struct, frozen=True, gc=False):
-    """A SetTimer has run out."""
+    """The timer of a SetTimer has fired."""
 
     token: int
 
