--- a/rushroad/policy/settings_reader.py
+++ b/rushroad/policy/settings_reader.py
@@ -1,7 +1,7 @@
-"""Reads the settings document of a deployment: the one place that knows the operators' keys.
+"""Reads the settings document of a deployment; the only module of the policy that knows its keys.
 
-The simulator and the configuration file give the same document, an object as decoded from JSON. Unknown keys
-are ignored.
+The simulator and the configuration file contain the same document, a decoded JSON object. Unknown keys are
+ignored. All durations are whole microseconds.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     SettingsError,
 )
 
-Term = TypeVar("Term")
+Choice = TypeVar("Choice")
 
 IDEMPOTENCY_BY_EFFECT = {
     "repeatable": Idempotency.IDEMPOTENT,
@@ -34,11 +34,11 @@
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
-WEIGHTS_IN_USE = ("nominal", "rough")
+ENABLED_WEIGHT_MODES = ("nominal", "rough")
 
 
 class _Section:
-    """An object in the document, with its path for error messages."""
+    """An object of the document, with its path for error messages."""
 
     __slots__ = ("_path", "_values")
 
@@ -63,7 +63,7 @@
         return _Section(self.optional(key, {}), self._path_of(key))
 
     def sections(self, key: str) -> list[_Section]:
-        """The objects of a list."""
+        """Return the objects of a list."""
         path, values = self._path_of(key), self.required(key)
         try:
             return [_Section(value, f"{path}[{index}]") for index, value in enumerate(values)]
@@ -71,7 +71,7 @@
             raise _wrong_type(path, "a list of objects", values) from None
 
     def strings(self, key: str) -> tuple[str, ...]:
-        """The strings of a list; none where the key is missing."""
+        """Return the strings of a list, or an empty tuple if the key is missing."""
         values = self.optional(key, ())
         try:
             return tuple(values)
@@ -85,13 +85,13 @@
         except (TypeError, ValueError):
             raise _wrong_type(self._path_of(key), "an integer", value) from None
 
-    def term(self, key: str, terms: Mapping[str, Term], default: str | None = None) -> Term:
-        """The term for a word of the operators."""
-        word = self.required(key) if default is None else self.optional(key, default)
-        if not isinstance(word, str) or word not in terms:
-            expected = ", ".join(sorted(terms))
-            raise SettingsError(f"settings: {self._path_of(key)} must be one of {expected}, not {word!r}")
-        return terms[word]
+    def choice(self, key: str, choices: Mapping[str, Choice], default: str | None = None) -> Choice:
+        """Return the choice that the string value of the key stands for."""
+        value = self.required(key) if default is None else self.optional(key, default)
+        if not isinstance(value, str) or value not in choices:
+            expected = ", ".join(sorted(choices))
+            raise SettingsError(f"settings: {self._path_of(key)} must be one of {expected}, not {value!r}")
+        return choices[value]
 
     def _path_of(self, key: str) -> str:
         return f"{self._path}.{key}" if self._path else key
@@ -104,10 +104,10 @@
 
 
 def read_settings(document: Any) -> Settings:
-    """The settings that decisions depend on.
+    """Read the settings that the policy depends on.
 
-    Raises SettingsError where a required key is missing, a word is unknown, or an object or list has another
-    type. The types of single numbers and flags are not checked.
+    Raises SettingsError if a required key is missing, an enumerated value is unknown, or an object or list
+    has the wrong type. The types of numbers and booleans are not checked.
     """
     root = _Section(document, "")
     limits, safety = root.section("limits"), root.section("safety")
@@ -124,7 +124,7 @@
         counter=_read_counter(extra) if extra.optional("counter", False) else None,
         max_units=extra.optional("unitsTop", 1),
         settles_units=extra.optional("truedUp", False),
-        uses_endpoint_weights=root.optional("weights", "off") in WEIGHTS_IN_USE,
+        uses_endpoint_weights=root.optional("weights", "off") in ENABLED_WEIGHT_MODES,
         polls_endpoints=root.optional("registryMode", None) == "subscribe",
         load_report_fields=load_report.strings("fields"),
         load_reports_by_health_check=load_report.optional("via", None) == "on_probe",
@@ -133,12 +133,12 @@
 
 def _read_request_class(section: _Section) -> RequestClass:
     return RequestClass(
-        idempotency=section.term("effect", IDEMPOTENCY_BY_EFFECT),
+        idempotency=section.choice("effect", IDEMPOTENCY_BY_EFFECT),
         latency_objective=section.required("goalTimeUs"),
         deadline=section.required("giveUpUs"),
         priority_weight=section.required("gain"),
         late_weight=section.optional("lateWorth", 0.0),
-        deduplication_scope=section.term("group", SCOPE_BY_GROUP, "all"),
+        deduplication_scope=section.choice("group", SCOPE_BY_GROUP, "all"),
         deduplication_window=section.optional("windowUs", 0),
         streamed=section.optional("streamed", False),
     )
@@ -191,34 +191,34 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxySettings:
-    """The settings that only the proxy needs: decisions know classes, plans and zones by number."""
+    """The settings that only the proxy needs: the policy identifies classes, plans and zones by index."""
 
-    class_indexes: dict[str, int]  # into Settings.request_classes, by name
-    plan_indexes: dict[str, int]  # into Settings.plans, by name
-    endpoint_class_numbers: dict[str, int]
-    zone_numbers: dict[str, int]
-    idle_timeout: int  # microseconds after which an endpoint closes an idle connection
+    class_indexes: dict[str, int]  # into Settings.request_classes, by class name
+    plan_indexes: dict[str, int]  # into Settings.plans, by plan name
+    endpoint_class_indexes: dict[str, int]
+    zone_indexes: dict[str, int]
+    idle_timeout: int  # time after which an endpoint closes an idle connection
 
 
 def read_proxy_settings(document: Any) -> ProxySettings:
-    """The settings that decisions do not need; raises SettingsError like read_settings."""
+    """Read the settings that only the proxy needs; raises SettingsError like read_settings."""
     root = _Section(document, "")
     return ProxySettings(
-        class_indexes=_read_names(root.sections("classes")),
-        plan_indexes=_read_names(root.sections("packages")),
-        endpoint_class_numbers=_number(root.strings("kinds"), "kinds"),
-        zone_numbers=_number(root.strings("areas"), "areas"),
+        class_indexes=_index_sections(root.sections("classes")),
+        plan_indexes=_index_sections(root.sections("packages")),
+        endpoint_class_indexes=_index_names(root.strings("kinds"), "kinds"),
+        zone_indexes=_index_names(root.strings("areas"), "areas"),
         idle_timeout=root.section("limits").integer("connIdleUs"),
     )
 
 
-def _read_names(sections: list[_Section]) -> dict[str, int]:
-    return _number([section.required("name") for section in sections], "name")
+def _index_sections(sections: list[_Section]) -> dict[str, int]:
+    return _index_names([section.required("name") for section in sections], "name")
 
 
-def _number(names: Sequence[str], key: str) -> dict[str, int]:
-    """The position of each name."""
+def _index_names(names: Sequence[str], key: str) -> dict[str, int]:
+    """Return the index of each name."""
     try:
-        return {name: number for number, name in enumerate(names)}
+        return {name: index for index, name in enumerate(names)}
     except TypeError:  # not hashable
         raise SettingsError(f"settings have a value of the wrong type: {key} must be a string") from None
--- a/tests/policy/test_settings_reader.py
+++ b/tests/policy/test_settings_reader.py
@@ -1,4 +1,4 @@
-"""The settings document: the operators' keys become the policy's terms, errors name the key."""
+"""Tests that the settings document is read into the policy's settings, and that errors name the key."""
 
 import copy
 from typing import Any
@@ -8,7 +8,7 @@
 from rushroad.policy.settings import CounterSettings, DeduplicationScope, Idempotency, SettingsError
 from rushroad.policy.settings_reader import ProxySettings, read_proxy_settings, read_settings
 
-SMALLEST: dict[str, Any] = {
+MINIMAL_DOCUMENT: dict[str, Any] = {
     "classes": [{"name": "quote", "effect": "once", "goalTimeUs": 600_000, "giveUpUs": 900_000, "gain": 2.0}],
     "packages": [{"name": "basic"}],
     "fleetSize": 2,
@@ -26,9 +26,9 @@
 }
 
 
-def changed(*path: str | int, value: object) -> dict[str, Any]:
-    """SMALLEST with the value at this path replaced."""
-    document = copy.deepcopy(SMALLEST)
+def with_value(*path: str | int, value: object) -> dict[str, Any]:
+    """Return MINIMAL_DOCUMENT with the value at this path replaced."""
+    document = copy.deepcopy(MINIMAL_DOCUMENT)
     section: Any = document
     for key in path[:-1]:
         section = section[key]
@@ -37,7 +37,7 @@
 
 
 def test_required_keys_alone_give_the_defaults() -> None:
-    settings = read_settings(SMALLEST)
+    settings = read_settings(MINIMAL_DOCUMENT)
     (request_class,), (plan,) = settings.request_classes, settings.plans
     assert request_class.idempotency is Idempotency.NOT_IDEMPOTENT
     assert (request_class.latency_objective, request_class.deadline) == (600_000, 900_000)
@@ -63,29 +63,29 @@
     ],
 )
 def test_effect_gives_the_idempotency(effect: str, idempotency: Idempotency) -> None:
-    settings = read_settings(changed("classes", 0, "effect", value=effect))
+    settings = read_settings(with_value("classes", 0, "effect", value=effect))
     assert settings.request_classes[0].idempotency is idempotency
 
 
 @pytest.mark.parametrize("group", ["all", "zone", "cell"])
 def test_group_gives_the_deduplication_scope(group: str) -> None:
-    settings = read_settings(changed("classes", 0, "group", value=group))
+    settings = read_settings(with_value("classes", 0, "group", value=group))
     assert settings.request_classes[0].deduplication_scope is DeduplicationScope(group)
 
 
 def test_counter_is_read_only_if_enabled() -> None:
     extra = {"counter": True, "countLimitUs": 50_000, "callPrice": 0.25}
-    assert read_settings(changed("extra", value=extra)).counter == CounterSettings(50_000, 0.25)
-    assert read_settings(changed("extra", value=extra | {"counter": False})).counter is None
+    assert read_settings(with_value("extra", value=extra)).counter == CounterSettings(50_000, 0.25)
+    assert read_settings(with_value("extra", value=extra | {"counter": False})).counter is None
 
 
-def test_names_get_the_numbers_of_their_positions() -> None:
-    document = SMALLEST | {"kinds": ["small", "large"], "areas": ["north"]}
+def test_names_are_indexed_in_the_order_of_the_document() -> None:
+    document = MINIMAL_DOCUMENT | {"kinds": ["small", "large"], "areas": ["north"]}
     assert read_proxy_settings(document) == ProxySettings(
         class_indexes={"quote": 0},
         plan_indexes={"basic": 0},
-        endpoint_class_numbers={"small": 0, "large": 1},
-        zone_numbers={"north": 0},
+        endpoint_class_indexes={"small": 0, "large": 1},
+        zone_indexes={"north": 0},
         idle_timeout=15_000_000,
     )
 
@@ -96,25 +96,25 @@
         ({}, "settings lack the key limits"),
         ([], "settings have a value of the wrong type: settings must be an object, not list"),
         (None, "settings have a value of the wrong type: settings must be an object, not NoneType"),
-        (changed("limits", value=3), "wrong type: limits must be an object, not int"),
-        (changed("limits", value={}), "settings lack the key limits.maxAttempts"),
-        (changed("safety", value={}), "settings lack the key safety.answerSlackUs"),
-        (changed("extra", value=None), "wrong type: extra must be an object, not NoneType"),
-        (changed("extra", value={"counter": True}), "settings lack the key extra.countLimitUs"),
-        (changed("classes", value=3), "wrong type: classes must be a list of objects, not int"),
-        (changed("classes", value=["quote"]), "wrong type: classes[0] must be an object, not str"),
-        (changed("classes", 0, value={"effect": "once"}), "settings lack the key classes[0].goalTimeUs"),
+        (with_value("limits", value=3), "wrong type: limits must be an object, not int"),
+        (with_value("limits", value={}), "settings lack the key limits.maxAttempts"),
+        (with_value("safety", value={}), "settings lack the key safety.answerSlackUs"),
+        (with_value("extra", value=None), "wrong type: extra must be an object, not NoneType"),
+        (with_value("extra", value={"counter": True}), "settings lack the key extra.countLimitUs"),
+        (with_value("classes", value=3), "wrong type: classes must be a list of objects, not int"),
+        (with_value("classes", value=["quote"]), "wrong type: classes[0] must be an object, not str"),
+        (with_value("classes", 0, value={"effect": "once"}), "settings lack the key classes[0].goalTimeUs"),
         (
-            changed("classes", 0, "effect", value="twice"),
+            with_value("classes", 0, "effect", value="twice"),
             "settings: classes[0].effect must be one of by_key, once, repeatable, not 'twice'",
         ),
-        (changed("classes", 0, "effect", value=["once"]), "classes[0].effect must be one of"),
-        (changed("classes", 0, "group", value=None), "classes[0].group must be one of all, cell, zone"),
-        (changed("packages", value=[3]), "wrong type: packages[0] must be an object, not int"),
-        (changed("report", value={"fields": 3}), "wrong type: report.fields must be a list of strings"),
+        (with_value("classes", 0, "effect", value=["once"]), "classes[0].effect must be one of"),
+        (with_value("classes", 0, "group", value=None), "classes[0].group must be one of all, cell, zone"),
+        (with_value("packages", value=[3]), "wrong type: packages[0] must be an object, not int"),
+        (with_value("report", value={"fields": 3}), "wrong type: report.fields must be a list of strings"),
     ],
 )
-def test_invalid_settings_are_refused_with_the_key_and_what_was_expected(document: Any, text: str) -> None:
+def test_error_for_invalid_settings_names_the_key_and_the_expected_value(document: Any, text: str) -> None:
     with pytest.raises(SettingsError) as error:
         read_settings(document)
     assert text in str(error.value)
@@ -123,16 +123,19 @@
 @pytest.mark.parametrize(
     ("document", "text"),
     [
-        (changed("classes", 0, value={}), "settings lack the key classes[0].name"),
-        (changed("classes", 0, "name", value=[]), "wrong type: name must be a string"),
-        (changed("limits", value={}), "settings lack the key limits.connIdleUs"),
-        (changed("limits", "connIdleUs", value="soon"), "limits.connIdleUs must be an integer, not str"),
-        (changed("limits", "connIdleUs", value=None), "limits.connIdleUs must be an integer, not NoneType"),
-        (changed("kinds", value=3), "wrong type: kinds must be a list of strings, not int"),
-        (changed("areas", value=[{}]), "wrong type: areas must be a string"),
+        (with_value("classes", 0, value={}), "settings lack the key classes[0].name"),
+        (with_value("classes", 0, "name", value=[]), "wrong type: name must be a string"),
+        (with_value("limits", value={}), "settings lack the key limits.connIdleUs"),
+        (with_value("limits", "connIdleUs", value="soon"), "limits.connIdleUs must be an integer, not str"),
+        (
+            with_value("limits", "connIdleUs", value=None),
+            "limits.connIdleUs must be an integer, not NoneType",
+        ),
+        (with_value("kinds", value=3), "wrong type: kinds must be a list of strings, not int"),
+        (with_value("areas", value=[{}]), "wrong type: areas must be a string"),
     ],
 )
-def test_invalid_proxy_settings_are_refused_with_the_key_and_what_was_expected(
+def test_error_for_invalid_proxy_settings_names_the_key_and_the_expected_value(
     document: Any, text: str
 ) -> None:
     with pytest.raises(SettingsError) as error:
