--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -15,7 +15,7 @@
 from rushroad.policy.durations import SECOND
 from rushroad.policy.events import CounterReply, Result
 from rushroad.policy.latency import LatencyTracker
-from rushroad.policy.pending_request import COUNTER_WAIT, PendingRequest
+from rushroad.policy.pending_request import COUNTER_WAIT_FRACTION, PendingRequest
 from rushroad.policy.settings import CounterSettings
 from rushroad.policy.tenants import Tenant
 from rushroad.policy.timers import CounterWaitOver, Timers
@@ -93,7 +93,7 @@
         if pending is None:
             self.release(call.waiting_request)  # the client has disconnected
             return None
-        return self._decide_by_total(reply, pending, now) if pending.awaiting_counter else None
+        return self._decide_by_total(reply, pending, now) if pending.awaiting_admission else None
 
     def _decide_by_total(self, reply: CounterReply, pending: PendingRequest, now: int) -> Admission:
         plan = pending.plan
@@ -102,7 +102,7 @@
         if reply.total <= plan.concurrency + HALF_SLOT:
             return Admission.ADMIT
         objective = pending.request_class.latency_objective
-        typical = self._latency.typical(pending.request.class_index) or COUNTER_WAIT * objective
+        typical = self._latency.typical(pending.request.class_index) or COUNTER_WAIT_FRACTION * objective
         pending.tenant.concurrency.full_until = now + int(FULL_BACKOFF * typical / plan.concurrency)
         return Admission.REJECT_OVER_CONCURRENCY
 
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -222,7 +222,7 @@
 
     def _start_next_attempt(self, pending: PendingRequest, avoid: str | None = None) -> None:
         """Start the next attempt, or end the request where none is possible."""
-        pending.awaiting_counter = False
+        pending.awaiting_admission = False
         if not self.retry_policy.has_attempt_left(pending, self._now):
             self._finish(pending)
             return
@@ -250,7 +250,7 @@
         return endpoint
 
     def _start_attempt(self, pending: PendingRequest, endpoint: ActiveEndpoint) -> None:
-        now, request, number = self._now, pending.request, pending.attempts
+        now, request, number = self._now, pending.request, pending.attempt_count
         timeout = self.retry_policy.attempt_timeout(pending, now)
         check_delay = self.retry_policy.check_delay(pending, now)
         if check_delay is not None:
@@ -266,7 +266,7 @@
             self.outliers.postpone_probe(endpoint, now)
         self.slow_start.take(endpoint)
         pending.in_flight[number] = InFlightAttempt(endpoint, now)
-        pending.attempts += 1
+        pending.attempt_count += 1
 
     # --- outcomes -----------------------------------------------------------------------------------------
 
@@ -307,7 +307,7 @@
         pending = self.pending.pop(event.request_id, None)
         if pending is None:
             return
-        if pending.attempts == 0:
+        if pending.attempt_count == 0:
             self.quota.return_units(pending, self._now)
         elif pending.in_flight:
             pending.tenant.concurrency.closed()
@@ -330,7 +330,7 @@
     def _stop_waiting_for_counter(self, request_id: int) -> None:
         """Decide on a request without its total, unless that has come."""
         pending = self.pending.get(request_id)
-        if pending is None or not pending.awaiting_counter:
+        if pending is None or not pending.awaiting_admission:
             return
         if pending.plan.rate > 0:
             self._apply(self.quota.decide_by_estimate(pending, self._now), pending)
@@ -365,13 +365,13 @@
         if self._settings.limits.cancellation_allowed:
             for number in pending.in_flight:
                 self._outbox.add(CancelAttempt(pending.request.id, number))
-        if not pending.attempts:
-            if not pending.awaiting_counter:
+        if not pending.attempt_count:
+            if not pending.awaiting_admission:
                 self.quota.release_admitted(pending)
             self.quota.return_units(pending, self._now)
         if not pending.in_flight:
             self.concurrency_quota.release(pending.request.id)
-        if pending.is_retry_harmless:
+        if pending.is_safe_to_retry:
             self._outbox.add(Reject(pending.request.id, self.quota.retry_after(pending)))
         else:
             self._outbox.add(Fail(pending.request.id))
--- a/rushroad/policy/load_shedding.py
+++ b/rushroad/policy/load_shedding.py
@@ -7,7 +7,7 @@
 
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter
 from rushroad.policy.latency import LatencyTracker
-from rushroad.policy.pending_request import COUNTER_WAIT, PendingRequest
+from rushroad.policy.pending_request import COUNTER_WAIT_FRACTION, PendingRequest
 from rushroad.policy.settings import Settings
 
 if TYPE_CHECKING:
@@ -57,13 +57,15 @@
         weight = pending.request_class.priority_weight * pending.plan.weight_multiplier
         value = weight / (self._latency.typical(pending.request.class_index) or self._longest_objective)
         self._mean_value += SMOOTHING * (value - self._mean_value)
-        return 1.0 if pending.is_over_quota else max(0.0, 1.0 - value / self._mean_value)
+        return 1.0 if pending.is_likely_over_quota else max(0.0, 1.0 - value / self._mean_value)
 
     def has_capacity(self, endpoints: Sequence[ActiveEndpoint], now: int, deficit: float = 0.0) -> bool:
         """Whether the endpoints have capacity for a request with this deficit of priority."""
         if self._limiter.pooled is not None:
             self.accrue(now)
-            spent = self._in_flight * (self._latency.highest() or COUNTER_WAIT * self._longest_objective)
+            spent = self._in_flight * (
+                self._latency.highest() or COUNTER_WAIT_FRACTION * self._longest_objective
+            )
             return self._credit > spent + RESERVE * deficit * self._longest_objective
         return self._is_below_limits(endpoints, now)
 
--- a/rushroad/policy/pending_request.py
+++ b/rushroad/policy/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that has no final answer yet."""
+"""A request that has no final answer yet. All timestamps and durations are whole microseconds."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from rushroad.policy.active_endpoints import ActiveEndpoint
 
-COUNTER_WAIT = 0.1  # of the latency objective; how long a request waits for its total
+COUNTER_WAIT_FRACTION = 0.1  # of the latency objective that a request may wait for its counter total
 
 
 class InFlightAttempt:
-    """An attempt without an outcome."""
+    """An attempt that has no outcome yet."""
 
     __slots__ = ("endpoint", "started_at")
 
@@ -25,7 +25,7 @@
 
 
 class PossibleExecution:
-    """An attempt that has ended, but may have been executed."""
+    """An attempt that has ended and may have been executed."""
 
     __slots__ = ("entry", "started_at")
 
@@ -35,16 +35,16 @@
 
 
 class PendingRequest:
-    """One request, from its arrival to its final answer. Times and spans are in microseconds."""
+    """The state of one request from its arrival to its final answer."""
 
     __slots__ = (
-        "attempts",
-        "awaiting_counter",
+        "attempt_count",
+        "awaiting_admission",
         "counted_units",
         "counter_wait",
         "deadline",
         "in_flight",
-        "is_over_quota",
+        "is_likely_over_quota",
         "objective_at",
         "plan",
         "possible_executions",
@@ -63,19 +63,19 @@
         self.tenant = tenant
         self.deadline = now + request.time_remaining
         self.objective_at = now + min(request_class.latency_objective, request.time_remaining)
-        objective_wait = int(request_class.latency_objective * COUNTER_WAIT)
-        self.counter_wait = min(objective_wait, request.time_remaining // 2)
-        self.attempts = 0
-        self.in_flight: dict[int, InFlightAttempt] = {}  # by the number of the attempt
+        max_wait = int(request_class.latency_objective * COUNTER_WAIT_FRACTION)
+        self.counter_wait = min(max_wait, request.time_remaining // 2)
+        self.attempt_count = 0
+        self.in_flight: dict[int, InFlightAttempt] = {}  # by attempt number
         self.possible_executions: list[PossibleExecution] = []
-        self.awaiting_counter = True  # no decision to forward it yet
-        self.counted_units = 0.0  # added to the counter for it, or to be added
-        self.rejection_probability = 0.0  # by the tenant's recent totals
-        self.is_over_quota = False  # most likely, by that probability
+        self.awaiting_admission = True
+        self.counted_units = 0.0  # added to the counter for this request, or to be added
+        self.rejection_probability = 0.0  # estimated from the tenant's recent totals
+        self.is_likely_over_quota = False  # judged by that probability
 
     @property
-    def is_retry_harmless(self) -> bool:
-        """True where a retry by the client can't have the effect of the request twice."""
+    def is_safe_to_retry(self) -> bool:
+        """Whether a retry by the client cannot apply the effect of the request twice."""
         if self.in_flight:
             return False
         return not self.possible_executions or self.request_class.idempotency is Idempotency.IDEMPOTENT
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -50,7 +50,7 @@
         pending.rejection_probability = rejections / (usage.decisions + 1.0)
         # Admitted without a total it earns its weight, or costs what going beyond the quota costs.
         cost = 1.0 + plan.overage_cost - plan.overage_weight
-        pending.is_over_quota = pending.rejection_probability * cost >= 1.0
+        pending.is_likely_over_quota = pending.rejection_probability * cost >= 1.0
 
     def permits(self, pending: PendingRequest) -> bool:
         """Whether this gateway's own share of the hard limits allows a request, whatever the counter says."""
@@ -76,13 +76,13 @@
         """Call the counter for a share of the requests, as its load allows; the others are estimated."""
         share = self._call_share(pending)
         if self._random.random() < share:
-            sampled = self.samples_requests and not pending.is_over_quota
+            sampled = self.samples_requests and not pending.is_likely_over_quota
             pending.counted_units = pending.request.units / share if sampled else pending.request.units
             self._call(pending, pending.request.id, pending.counted_units, now)
             if self._counter is not None and self._counter.timeout > pending.counter_wait:
                 self._timers.start(pending.counter_wait, CounterWaitOver(pending.request.id))
             return Admission.WAIT_FOR_COUNTER
-        if pending.is_over_quota:
+        if pending.is_likely_over_quota:
             return Admission.REJECT_OVER_QUOTA
         return self.decide_by_estimate(pending, now)
 
@@ -90,7 +90,7 @@
         share = self._breaker.call_share
         if share >= 1.0:
             return share
-        if pending.is_over_quota:
+        if pending.is_likely_over_quota:
             return share * min(1.0, OVER_QUOTA_CALLS * (1.0 - pending.rejection_probability))
         if self.samples_requests:
             return share
@@ -157,7 +157,7 @@
         self, call: CounterCall, reply: CounterReply, pending: PendingRequest | None, now: int
     ) -> Admission | None:
         """Take in the reply to a call; returns the decision on the request that still waits for it."""
-        waits = pending is not None and pending.awaiting_counter
+        waits = pending is not None and pending.awaiting_admission
         usage = call.tenant.usage
         if reply.result is not Result.OK:
             usage.call_failed(call.amount, reply.result.proven_not_executed)
--- a/rushroad/policy/retry_policy.py
+++ b/rushroad/policy/retry_policy.py
@@ -47,7 +47,7 @@
 
     def has_attempt_left(self, pending: PendingRequest, now: int) -> bool:
         """Whether attempts and time allow one more."""
-        if pending.attempts >= self._limits.max_attempts:
+        if pending.attempt_count >= self._limits.max_attempts:
             return False
         return self.time_to_objective(pending, now) > self._tick
 
@@ -58,7 +58,7 @@
     def _leaves_time_for_retry(self, pending: PendingRequest) -> bool:
         if pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return False
-        if pending.attempts + 1 >= self._limits.max_attempts:
+        if pending.attempt_count + 1 >= self._limits.max_attempts:
             return False
         return not pending.possible_executions and not pending.in_flight  # a retry has all that is left
 
@@ -72,7 +72,7 @@
         """Return the timeout of an attempt that starts now."""
         remaining, to_objective = pending.deadline - now, self.time_to_objective(pending, now)
         timeout = remaining if pending.request_class.late_weight > 0 else min(remaining, to_objective)
-        is_first = pending.attempts == 0 and not self._limits.cancellation_allowed
+        is_first = pending.attempt_count == 0 and not self._limits.cancellation_allowed
         if is_first and self._leaves_time_for_retry(pending):
             timeout = min(timeout, max(self._tick, int(to_objective * FIRST_ATTEMPT_TIME)))
         return timeout
