--- a/rushroad/policy/client_retries.py
+++ b/rushroad/policy/client_retries.py
@@ -1,51 +1,53 @@
-"""Recognizes retries of clients by the time that they have left."""
+"""Detects client retries by their time remaining. All times are whole microseconds."""
 
 from __future__ import annotations
 
 from rushroad.policy.events import Request
 from rushroad.policy.settings import RequestClass, Settings
 
-MATCH_TOLERANCE = 0.01  # of a class's deadline
-MAX_LATE_WEIGHT = 0.5  # classes that earn so much after their objective are worth serving late
+MATCH_TOLERANCE = 0.01  # fraction of the class's deadline
+MAX_LATE_WEIGHT = 0.5  # classes with at least this late weight are worth serving after their objective
 
 
-class ClientTimeout:
-    """The typical time that clients give the first try of a class, by majority vote."""
+class TypicalTimeout:
+    """The most common time remaining of a class's requests, by a Boyer-Moore style majority vote."""
 
-    __slots__ = ("typical", "votes")
+    __slots__ = ("value", "votes")
 
     def __init__(self) -> None:
-        self.typical, self.votes = 0, 0
+        self.value, self.votes = 0, 0
 
     def vote(self, time_remaining: int, matches: bool) -> None:
-        """Count one request, which matches the typical time or not."""
+        """Count the vote of a request for or against the current value."""
         if matches:
             self.votes += 1
         elif self.votes <= 0:
-            self.typical, self.votes = time_remaining, 0
+            self.value, self.votes = time_remaining, 0
         else:
             self.votes -= 1
 
 
-class ClientRetries:
+class ClientRetryDetector:
     """Estimates how long ago a client first sent a request.
 
-    Most requests of a class arrive with the same time left. Another one is a retry with the rest of its
-    time: once its latency objective has passed, it would take units and capacity for nothing.
+    Most requests of a class arrive with the same time remaining. A request with a different one is assumed to
+    be a retry with the rest of that time. Once its latency objective has passed, serving it would waste units
+    and capacity.
     """
 
     def __init__(self, settings: Settings) -> None:
-        self._timeouts = [ClientTimeout() for _ in settings.request_classes]
+        self._typical_timeouts = [TypicalTimeout() for _ in settings.request_classes]
 
-    def elapsed(self, request: Request, request_class: RequestClass, is_overloaded: bool) -> int:
-        """Return the microseconds since the first try; 0 unless there is overload.
+    def time_since_first_try(self, request: Request, request_class: RequestClass, is_overloaded: bool) -> int:
+        """Return the estimated time since the first try; 0 without overload or if this is no retry.
 
-        Clients that are merely impatient would be harmed, so only while others would go without.
+        First tries with a short timeout look like retries as well. Detection is limited to overload, where
+        serving them would deny service to others.
         """
-        timeout = self._timeouts[request.class_index]
-        distance = abs(request.time_remaining - timeout.typical)
+        typical_timeout = self._typical_timeouts[request.class_index]
+        distance = abs(request.time_remaining - typical_timeout.value)
         matches = distance <= MATCH_TOLERANCE * request_class.deadline
-        timeout.vote(request.time_remaining, matches)
+        typical_timeout.vote(request.time_remaining, matches)
         if matches or not is_overloaded or request_class.late_weight >= MAX_LATE_WEIGHT:
             return 0
         return request_class.deadline - request.time_remaining
--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -18,7 +18,7 @@
 from rushroad.policy.pending_request import COUNTER_WAIT_FRACTION, PendingRequest
 from rushroad.policy.settings import CounterSettings
 from rushroad.policy.tenants import Tenant
-from rushroad.policy.timers import CounterWaitOver, Timers
+from rushroad.policy.timers import CounterWaitExpired, Timers
 
 SLOT_LIFETIME = 8 * SECOND  # microseconds; a slot whose return was lost is free again after that
 FULL_BACKOFF = 0.5  # of the mean time until a slot is free; so long requests are rejected without a call
@@ -72,7 +72,7 @@
             return self.decide_by_local_share(pending)
         self._call(pending.tenant, 1.0, pending.request.id)
         if self._counter.timeout > pending.counter_wait:
-            self._timers.start(pending.counter_wait, CounterWaitOver(pending.request.id))
+            self._timers.start(pending.counter_wait, CounterWaitExpired(pending.request.id))
         return Admission.WAIT_FOR_COUNTER
 
     def decide_by_local_share(self, pending: PendingRequest) -> Admission:
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -17,7 +17,7 @@
 from rushroad.policy.actions import Action, CancelAttempt, Fail, Reject, StartAttempt, WatchEndpoints
 from rushroad.policy.active_endpoints import ActiveEndpoint, ActiveEndpoints
 from rushroad.policy.admission import Admission
-from rushroad.policy.client_retries import ClientRetries
+from rushroad.policy.client_retries import ClientRetryDetector
 from rushroad.policy.clock_skew import ClockSkew
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter
 from rushroad.policy.concurrency_quota import ConcurrencyQuota
@@ -51,7 +51,7 @@
 from rushroad.policy.tenants import Tenants
 from rushroad.policy.timers import (
     AttemptCheckDue,
-    CounterWaitOver,
+    CounterWaitExpired,
     SubsetReviewDue,
     Timers,
     WatchRetryDue,
@@ -77,7 +77,7 @@
 
     def _create_quota_parts(self, settings: Settings, now: int) -> None:
         self.tenants = Tenants(settings, now)
-        self.client_retries = ClientRetries(settings)
+        self.client_retries = ClientRetryDetector(settings)
         self.counter_breaker = CounterBreaker(settings.counter, now, now - LONG_AGO)
         self.counter_calls = CounterCalls(self._outbox)
         self.quota = Quota(settings, self.counter_breaker, self.counter_calls, self.timers, self._random)
@@ -138,7 +138,7 @@
     def handle(self, now: int, event: Event) -> list[Action]:
         """Take in one event at a time in microseconds; returns the actions that it calls for, in order."""
         self._now = now
-        actions = self._outbox.start()
+        actions = self._outbox.start_event()
         match event:
             case Request():
                 self._on_request(event)
@@ -175,7 +175,9 @@
         tenant = self.tenants.refresh(request, plan, self._now)
         pending = PendingRequest(request, request_class, plan, tenant, self._now)
         self.pending[request.id] = pending
-        pending.objective_at -= self.client_retries.elapsed(request, request_class, self._is_overloaded())
+        pending.objective_at -= self.client_retries.time_since_first_try(
+            request, request_class, self._is_overloaded()
+        )
         self.retry_policy.request_arrived()
         self.quota.assess(pending)
         return pending
@@ -317,12 +319,12 @@
     # --- timers -------------------------------------------------------------------------------------------
 
     def _on_timer(self, event: TimerFired) -> None:
-        match self.timers.fired(event.token):
+        match self.timers.take_purpose(event.token):
             case WatchRetryDue():
                 self._outbox.add(WatchEndpoints(enabled=True))
             case SubsetReviewDue():
                 self.endpoint_updates.review_subset(self._now)
-            case CounterWaitOver(request_id):
+            case CounterWaitExpired(request_id):
                 self._stop_waiting_for_counter(request_id)
             case AttemptCheckDue(request_id, attempt):
                 self._check_attempt(request_id, attempt)
--- a/rushroad/policy/outbox.py
+++ b/rushroad/policy/outbox.py
@@ -1,4 +1,4 @@
-"""The actions that the handling of one event has decided so far."""
+"""The actions decided so far while one event is handled."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Outbox:
-    """Collects actions in the order in which they were decided."""
+    """Collects actions in order of decision."""
 
     __slots__ = ("actions",)
 
@@ -17,7 +17,7 @@
         """Append an action."""
         self.actions.append(action)
 
-    def start(self) -> list[Action]:
-        """Begin a new list for the next event, and return it."""
+    def start_event(self) -> list[Action]:
+        """Start a new list of actions for the next event, and return it."""
         self.actions = []
         return self.actions
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -17,7 +17,7 @@
 from rushroad.policy.pending_request import PendingRequest
 from rushroad.policy.settings import Settings
 from rushroad.policy.tenant_usage import SMOOTHING, window_length
-from rushroad.policy.timers import CounterWaitOver, Timers
+from rushroad.policy.timers import CounterWaitExpired, Timers
 
 FULL_SHARE_USE = 0.5  # of the burst used; from there on all requests call that the counter's load allows
 NEAR_LIMIT_WINDOWS = 2.0  # refills of the burst for which a tenant counts as near its limit
@@ -80,7 +80,7 @@
             pending.counted_units = pending.request.units / share if sampled else pending.request.units
             self._call(pending, pending.request.id, pending.counted_units, now)
             if self._counter is not None and self._counter.timeout > pending.counter_wait:
-                self._timers.start(pending.counter_wait, CounterWaitOver(pending.request.id))
+                self._timers.start(pending.counter_wait, CounterWaitExpired(pending.request.id))
             return Admission.WAIT_FOR_COUNTER
         if pending.is_likely_over_quota:
             return Admission.REJECT_OVER_QUOTA
--- a/rushroad/policy/timers.py
+++ b/rushroad/policy/timers.py
@@ -1,4 +1,4 @@
-"""The timers that the policy has set, each with its typed purpose."""
+"""The timers that the policy has set, each with a typed purpose. All durations are whole microseconds."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 from rushroad.policy.actions import SetTimer
 from rushroad.policy.outbox import Outbox
 
-TOKEN_MASK = 0xFFFFFFFF  # tokens have 32 bits on the simulator's wire
+TOKEN_MASK = 0xFFFFFFFF  # tokens are 32 bits wide in the simulator's records
 
 
-class CounterWaitOver(msgspec.Struct, frozen=True, gc=False):
-    """A request has waited for its counter reply for as long as it may."""
+class CounterWaitExpired(msgspec.Struct, frozen=True, gc=False):
+    """A request has waited the maximum time for its counter reply."""
 
     request_id: int
 
 
 class AttemptCheckDue(msgspec.Struct, frozen=True, gc=False):
-    """An attempt has used its part of the time; its endpoint may be silent."""
+    """An attempt has used up its share of the time; its endpoint may be silent."""
 
     request_id: int
     attempt: int
 
 
 class WatchRetryDue:
-    """A failed call to the discovery service may be made again."""
+    """A failed call to the discovery service may be retried."""
 
 
 class SubsetReviewDue:
     """The next part of the endpoint list is due for a review of the subset."""
 
 
-TimerPurpose: TypeAlias = CounterWaitOver | AttemptCheckDue | WatchRetryDue | SubsetReviewDue
+TimerPurpose: TypeAlias = CounterWaitExpired | AttemptCheckDue | WatchRetryDue | SubsetReviewDue
 
 WATCH_RETRY: Final = WatchRetryDue()
 SUBSET_REVIEW: Final = SubsetReviewDue()
-# Purposes with at most one timer each have tokens of their own; all others are numbered from 1.
+# A purpose with at most one timer has a fixed token; the timers of requests are numbered from 1.
 FIXED_TOKENS: dict[WatchRetryDue | SubsetReviewDue, int] = {WATCH_RETRY: 0, SUBSET_REVIEW: TOKEN_MASK}
 FIXED_PURPOSES = {token: purpose for purpose, token in FIXED_TOKENS.items()}
 
 
 class Timers:
-    """Sets timers, and tells what a timer that has fired was for."""
+    """Sets timers, and maps the token of a timer that has fired to its purpose."""
 
     def __init__(self, outbox: Outbox) -> None:
         self._outbox = outbox
@@ -51,19 +51,19 @@
         self._last_token = 0
 
     def __len__(self) -> int:
-        """Count the timers of requests that have not fired."""
+        """Return the number of request timers that have not fired."""
         return len(self._purposes)
 
-    def start(self, delay: int, purpose: CounterWaitOver | AttemptCheckDue) -> None:
-        """Set a timer for a request, to fire after `delay` microseconds."""
+    def start(self, delay: int, purpose: CounterWaitExpired | AttemptCheckDue) -> None:
+        """Set a timer for a request."""
         self._last_token = (self._last_token + 1) & TOKEN_MASK
         self._purposes[self._last_token] = purpose
         self._outbox.add(SetTimer(delay, self._last_token))
 
     def start_single(self, delay: int, purpose: WatchRetryDue | SubsetReviewDue) -> None:
-        """Set the one timer of this purpose, to fire after `delay` microseconds."""
+        """Set the only timer of this purpose."""
         self._outbox.add(SetTimer(delay, FIXED_TOKENS[purpose]))
 
-    def fired(self, token: int) -> TimerPurpose | None:
-        """Return what the timer was for; None where that is not known."""
+    def take_purpose(self, token: int) -> TimerPurpose | None:
+        """Return the purpose of the timer that has fired; None if the token is unknown."""
         return FIXED_PURPOSES.get(token) or self._purposes.pop(token, None)
