--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -1,13 +1,16 @@
-"""One gateway's decisions, a pure function of its settings, its seed and the events that it is given.
+"""The policy of one gateway: its actions depend only on its settings, its seed and the events so far.
 
-`Gateway` leads each request through the parts of the policy, each of which owns its state and its figures:
+`Gateway` passes each request through the components of the policy, each of which owns its state:
 
-arrival  `load_shedding` rejects it where capacity is short; `quota` or `concurrency_quota` admits it by the
-         total on the shared counter, which `counter_breaker` protects; `rate_ceiling` holds the hard limit.
+arrival  `load_shedding` rejects the request if capacity is short; `quota` or `concurrency_quota` admits it by
+         the total on the shared counter, which `counter_breaker` protects; `rate_ceiling` enforces the hard
+         limit.
 attempt  `load_balancer` chooses among the `active_endpoints` that `outlier_detection`, `slow_start` and
-         `concurrency_limit` leave; `retry_policy` sets its timeout.
-outcome  `latency`, `throughput` and these parts learn from it; `retry_policy` allows another attempt.
-answer   one final answer, a rejection only where that is known to be harmless.
+         `concurrency_limit` permit; `retry_policy` sets the timeout.
+outcome  `latency`, `throughput` and these components update their state; `retry_policy` decides on a retry.
+answer   Each request gets one final answer, which is a rejection only if the client may safely retry.
+
+All timestamps and durations are whole microseconds.
 """
 
 from __future__ import annotations
@@ -57,28 +60,28 @@
     WatchRetryDue,
 )
 
-LONG_AGO = 60 * SECOND  # microseconds before the start
+INITIAL_FAILURE_AGE = 60 * SECOND  # before the start; older than any call to the counter
 
 
 class Gateway:
-    """Owns the parts of the policy and the requests that have no final answer yet."""
+    """Owns the components of the policy and the requests that have no final answer yet."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self._settings = settings
         self._random = random.Random(seed)
         self._now = now
         self._outbox = Outbox()
-        self.pending: dict[int, PendingRequest] = {}
+        self.pending_requests: dict[int, PendingRequest] = {}
         self.timers = Timers(self._outbox)
         self.latency = LatencyTracker(settings)
-        self._create_quota_parts(settings, now)
-        self._create_endpoint_parts(settings, now)
-        self._create_routing_parts(settings)
+        self._create_quota_components(settings, now)
+        self._create_endpoint_components(settings, now)
+        self._create_routing_components(settings)
 
-    def _create_quota_parts(self, settings: Settings, now: int) -> None:
+    def _create_quota_components(self, settings: Settings, now: int) -> None:
         self.tenants = Tenants(settings, now)
         self.client_retries = ClientRetryDetector(settings)
-        self.counter_breaker = CounterBreaker(settings.counter, now, now - LONG_AGO)
+        self.counter_breaker = CounterBreaker(settings.counter, now, now - INITIAL_FAILURE_AGE)
         self.counter_calls = CounterCalls(self._outbox)
         self.quota = Quota(settings, self.counter_breaker, self.counter_calls, self.timers, self._random)
         self.concurrency_quota = ConcurrencyQuota(
@@ -90,7 +93,7 @@
             self._random,
         )
 
-    def _create_endpoint_parts(self, settings: Settings, now: int) -> None:
+    def _create_endpoint_components(self, settings: Settings, now: int) -> None:
         self._table = EndpointTable(settings.gateway_index, settings.fleet_size, settings.uses_cells)
         self.clock_skew = ClockSkew()
         self.limiter = ConcurrencyLimiter(settings, self._table)
@@ -101,7 +104,7 @@
             settings, self._table, self.limiter, self.outliers, self.slow_start, self._random
         )
 
-    def _create_routing_parts(self, settings: Settings) -> None:
+    def _create_routing_components(self, settings: Settings) -> None:
         self.retry_policy = RetryPolicy(settings)
         self.load_balancer = LoadBalancer(
             settings,
@@ -136,7 +139,7 @@
         )
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take in one event at a time in microseconds; returns the actions that it calls for, in order."""
+        """Handle one event that occurs at `now`; returns the resulting actions in order."""
         self._now = now
         actions = self._outbox.start_event()
         match event:
@@ -159,22 +162,22 @@
     # --- admission ----------------------------------------------------------------------------------------
 
     def _on_request(self, request: Request) -> None:
-        pending = self._open(request)
+        pending = self._track(request)
         plan = pending.plan
         if not self._can_be_served(pending):
-            self._finish(pending)
+            self._reject_or_fail(pending)
         elif plan.rate > 0:
-            self._apply(self.quota.decide(pending, self._now), pending)
+            self._apply_admission(self.quota.decide(pending, self._now), pending)
         else:
-            self._apply(self.concurrency_quota.decide(pending, self._now), pending)
+            self._apply_admission(self.concurrency_quota.decide(pending, self._now), pending)
 
-    def _open(self, request: Request) -> PendingRequest:
-        """Start to follow a request."""
+    def _track(self, request: Request) -> PendingRequest:
+        """Create the state of a new request."""
         request_class = self._settings.request_classes[request.class_index]
         plan = self._settings.plans[request.plan_index]
         tenant = self.tenants.refresh(request, plan, self._now)
         pending = PendingRequest(request, request_class, plan, tenant, self._now)
-        self.pending[request.id] = pending
+        self.pending_requests[request.id] = pending
         pending.objective_at -= self.client_retries.time_since_first_try(
             request, request_class, self._is_overloaded()
         )
@@ -188,31 +191,31 @@
         return self.limiter.pooled is not None and self.load_shedding.is_capacity_short
 
     def _can_be_served(self, pending: PendingRequest) -> bool:
-        """Whether time, hard limits and capacity allow a request, whatever its quota."""
+        """Whether time, hard limits and capacity allow a request, regardless of its quota."""
         usable_time = min(pending.counter_wait, pending.objective_at - self._now)
         if usable_time <= self._settings.tick or not self.quota.permits(pending):
             return False
         deficit = self.load_shedding.priority_deficit(pending)
         return self.load_shedding.has_capacity(self.endpoints.ready, self._now, deficit)
 
-    def _apply(self, admission: Admission | None, pending: PendingRequest) -> None:
-        """Act on a decision; None and WAIT_FOR_COUNTER leave the request as it is."""
+    def _apply_admission(self, admission: Admission | None, pending: PendingRequest) -> None:
+        """Act on an admission decision; None and WAIT_FOR_COUNTER leave the request unchanged."""
         if admission is Admission.ADMIT:
             self._start_next_attempt(pending)
         elif admission is not None and admission is not Admission.WAIT_FOR_COUNTER:
-            self._finish(pending)
+            self._reject_or_fail(pending)
 
     def _on_counter_reply(self, reply: CounterReply) -> None:
         call = self.counter_calls.take_oldest(reply.name)
-        waiting = call.waiting_request
-        pending = self.pending.get(waiting) if waiting is not None else None
+        request_id = call.waiting_request
+        pending = self.pending_requests.get(request_id) if request_id is not None else None
         self.counter_breaker.record(reply, self._now)
         if call.resource is CountedResource.UNITS:
             admission = self.quota.on_reply(call, reply, pending, self._now)
         else:
             admission = self.concurrency_quota.on_reply(call, reply, pending, self._now)
         if pending is not None:
-            self._apply(admission, pending)
+            self._apply_admission(admission, pending)
 
     def _on_late_counter_reply(self, reply: LateCounterReply) -> None:
         tenant_id = tenant_of(reply.name)
@@ -223,19 +226,19 @@
     # --- attempts -----------------------------------------------------------------------------------------
 
     def _start_next_attempt(self, pending: PendingRequest, avoid: str | None = None) -> None:
-        """Start the next attempt, or end the request where none is possible."""
+        """Start the next attempt, or end the request if none is possible."""
         pending.awaiting_admission = False
         if not self.retry_policy.has_attempt_left(pending, self._now):
-            self._finish(pending)
+            self._reject_or_fail(pending)
             return
-        endpoint = self._choose(pending, avoid)
+        endpoint = self._choose_endpoint(pending, avoid)
         if endpoint is None:
-            self._finish(pending)
+            self._reject_or_fail(pending)
             return
         self._start_attempt(pending, endpoint)
 
-    def _choose(self, pending: PendingRequest, avoid: str | None) -> ActiveEndpoint | None:
-        """Return the endpoint for an attempt; None where no rule-abiding one has capacity."""
+    def _choose_endpoint(self, pending: PendingRequest, avoid: str | None) -> ActiveEndpoint | None:
+        """Return the endpoint for an attempt; None if no permitted endpoint has capacity."""
         now = self._now
         if not self.load_shedding.has_capacity(self.endpoints.ready, now):
             return None
@@ -274,7 +277,7 @@
 
     def _on_outcome(self, outcome: AttemptOutcome) -> None:
         endpoint = self.endpoints.get(outcome.endpoint)
-        pending = self.pending.get(outcome.request_id)
+        pending = self.pending_requests.get(outcome.request_id)
         self.load_shedding.attempt_ended(self._now)
         if outcome.final or pending is None:
             self.concurrency_quota.release(outcome.request_id)
@@ -283,10 +286,10 @@
         if pending is None:
             return
         attempt = pending.in_flight.pop(outcome.attempt, None)
-        if outcome.final or not pending.in_flight:  # else a hedged attempt is still in flight
+        if outcome.final or not pending.in_flight:  # otherwise a hedged attempt is in flight
             pending.tenant.concurrency.closed()
         if outcome.final:
-            self._close(pending, outcome)
+            self._complete(pending, outcome)
             return
         if attempt is not None and not outcome.result.proven_not_executed:
             execution = PossibleExecution(attempt.endpoint.entry, attempt.started_at)
@@ -296,17 +299,17 @@
         if self.retry_policy.take_retry(pending, outcome.result):
             self._start_next_attempt(pending, outcome.endpoint)
         else:
-            self._finish(pending)
+            self._reject_or_fail(pending)
 
-    def _close(self, pending: PendingRequest, outcome: AttemptOutcome) -> None:
-        """Forget a request that has its final answer by this outcome, or had it before."""
+    def _complete(self, pending: PendingRequest, outcome: AttemptOutcome) -> None:
+        """Remove a request that is over, because of this outcome or already before it."""
         if outcome.result is Result.OK and self._settings.settles_units and outcome.actual_units is not None:
             self.quota.settle(pending, outcome.actual_units)
-        del self.pending[outcome.request_id]
+        del self.pending_requests[outcome.request_id]
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Forget a request: attempts in flight run on; units that were never forwarded are given back."""
-        pending = self.pending.pop(event.request_id, None)
+        """Remove a request. Attempts in flight continue; units of a request never forwarded are returned."""
+        pending = self.pending_requests.pop(event.request_id, None)
         if pending is None:
             return
         if pending.attempt_count == 0:
@@ -330,21 +333,21 @@
                 self._check_attempt(request_id, attempt)
 
     def _stop_waiting_for_counter(self, request_id: int) -> None:
-        """Decide on a request without its total, unless that has come."""
-        pending = self.pending.get(request_id)
+        """Decide on a request without its counter total, unless the total has arrived."""
+        pending = self.pending_requests.get(request_id)
         if pending is None or not pending.awaiting_admission:
             return
         if pending.plan.rate > 0:
-            self._apply(self.quota.decide_by_estimate(pending, self._now), pending)
+            self._apply_admission(self.quota.decide_by_estimate(pending, self._now), pending)
         else:
-            self._apply(self.concurrency_quota.decide_by_local_share(pending), pending)
+            self._apply_admission(self.concurrency_quota.decide_by_local_share(pending), pending)
 
     def _check_attempt(self, request_id: int, number: int) -> None:
-        """Hedge or cancel an attempt at a silent endpoint.
+        """Hedge or cancel an attempt if its endpoint is silent.
 
-        One that is merely slow is left alone: to wait for it is cheaper than to repeat the work.
+        An attempt that is merely slow is left alone: waiting for it is cheaper than repeating the work.
         """
-        pending = self.pending.get(request_id)
+        pending = self.pending_requests.get(request_id)
         attempt = pending.in_flight.get(number) if pending is not None else None
         if pending is None or attempt is None:
             return
@@ -355,15 +358,15 @@
         if not self.retry_policy.may_hedge(pending):
             self._outbox.add(CancelAttempt(request_id, number))
             return
-        other = self._choose(pending, attempt.endpoint.entry.name)
+        other = self._choose_endpoint(pending, attempt.endpoint.entry.name)
         if other is not None:
             self.retry_policy.take()
             self._start_attempt(pending, other)
 
     # --- final answers ------------------------------------------------------------------------------------
 
-    def _finish(self, pending: PendingRequest) -> None:
-        """Give the final answer where no response has: a rejection where it surely has had no effect."""
+    def _reject_or_fail(self, pending: PendingRequest) -> None:
+        """Give the final answer to a request without a response: a rejection if it is safe to retry."""
         if self._settings.limits.cancellation_allowed:
             for number in pending.in_flight:
                 self._outbox.add(CancelAttempt(pending.request.id, number))
@@ -377,4 +380,4 @@
             self._outbox.add(Reject(pending.request.id, self.quota.retry_after(pending)))
         else:
             self._outbox.add(Fail(pending.request.id))
-        del self.pending[pending.request.id]
+        del self.pending_requests[pending.request.id]
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -1,13 +1,7 @@
-"""The way of a request through the parts of the policy."""
+"""Tests for the way of a request through the components of the policy."""
 
 from rushroad.policy.events import Result, UpdateKind
-from tests.support.gateway_driver import (
-    NOT_IDEMPOTENT,
-    SECOND,
-    TENANT,
-    Driver,
-    action_names,
-)
+from tests.support.gateway_driver import NOT_IDEMPOTENT, SECOND, TENANT, Driver, action_names
 
 
 def test_request_is_rejected_while_the_endpoint_list_is_empty() -> None:
@@ -40,13 +34,14 @@
         attempt = driver.admit(tenant=n)
         driver.outcome(attempt.request_id)
     driver.wait(5 * SECOND)
-    assert not driver.gateway.pending
+    assert not driver.gateway.pending_requests
     assert not len(driver.gateway.counter_calls)
     assert not len(driver.gateway.timers)
 
 
 def test_disconnected_client_releases_its_open_request() -> None:
-    # Guards memory, as a tenant with anything open is kept, and the quota: what was not sent is not used.
+    # Otherwise the tenant would be kept in memory for ever, as tenants with open requests are never evicted,
+    # and the units of a request that was never forwarded would stay counted against its quota.
     driver = Driver()
     attempt = driver.admit(units=2.0)
     driver.disconnect(attempt.request_id)
@@ -57,7 +52,8 @@
 
 
 def test_retried_request_counts_as_open_once() -> None:
-    # Guards plans that cap what is out, and memory: the count must come back to nothing, and not before.
+    # A count too high would keep the tenant in memory and use up its concurrency limit; one too low would let
+    # the tenant exceed that limit.
     driver = Driver()
     first, second = driver.admit(), driver.admit()
     driver.outcome(first.request_id, Result.ERROR)
