--- a/tests/policy/test_counter_calls.py
+++ b/tests/policy/test_counter_calls.py
@@ -13,7 +13,7 @@
 )
 from rushroad.policy.outbox import Outbox
 from rushroad.policy.tenants import Tenants
-from tests.support.gateway_driver import PLAIN, SECOND, SETTINGS, START
+from tests.support.gateway_driver import QUOTA_PLAN, SECOND, SETTINGS, START
 
 LARGEST_TENANT = (1 << 33) - 1
 
@@ -21,7 +21,7 @@
 def test_replies_for_one_name_belong_to_its_calls_in_their_order() -> None:
     outbox = Outbox()
     calls, tenants = CounterCalls(outbox), Tenants(SETTINGS, START)
-    tenant = tenants.create(77, SETTINGS.plans[PLAIN], START)
+    tenant = tenants.create(77, SETTINGS.plans[QUOTA_PLAN], START)
     for amount in (1.0, 2.0, 3.0):
         calls.add(units_counter(77), CounterCall(CountedResource.UNITS, tenant, amount, None), SECOND)
     assert outbox.actions[0] == CounterAdd(units_counter(77), 1.0, SECOND)
--- a/tests/policy/test_counter_window.py
+++ b/tests/policy/test_counter_window.py
@@ -66,4 +66,4 @@
         added[gateway] += 1.0
     for gateway in (0, 1):
         # What is added between a gateway's last total in a window and the window's end is not seen.
-        assert seen[gateway] >= added[1 - gateway] - 2.0 * totals.started / max(1.0, mean_pause)
+        assert seen[gateway] >= added[1 - gateway] - 2.0 * totals.created_count / max(1.0, mean_pause)
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -1,4 +1,4 @@
-"""The five rules, from the actions alone, over drawn sequences of events and settings."""
+"""Property-based tests of the five rules: actions are checked over random events and settings."""
 
 from dataclasses import replace
 
@@ -15,18 +15,18 @@
 
 @st.composite
 def deployments(draw: st.DrawFn) -> Settings:
-    group = draw(st.sampled_from(list(DeduplicationScope)))
-    keyed = RequestClass(
+    scope = draw(st.sampled_from(list(DeduplicationScope)))
+    keyed_class = RequestClass(
         Idempotency.IDEMPOTENCY_KEY,
         latency_objective=SECOND,
         deadline=3 * SECOND,
         priority_weight=2.0,
-        deduplication_scope=group,
+        deduplication_scope=scope,
         deduplication_window=draw(st.sampled_from([200 * MS, 2 * SECOND])),
     )
     return replace(
         SETTINGS,
-        request_classes=(SETTINGS.request_classes[0], keyed, SETTINGS.request_classes[2]),
+        request_classes=(SETTINGS.request_classes[0], keyed_class, SETTINGS.request_classes[2]),
         plans=(*SETTINGS.plans, Plan(), Plan(concurrency=3), Plan(rate=1.0, burst=4.0, concurrency=2)),
         counter=draw(st.sampled_from([None, SETTINGS.counter])),
         limits=Limits(
@@ -41,7 +41,9 @@
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["request"] * 4 + ["outcome"] * 3 + ["counted"] * 3 + ["wait", "expire", "list"]),
+        st.sampled_from(
+            ["request"] * 4 + ["outcome"] * 3 + ["counter_reply"] * 3 + ["wait", "disconnect", "update"]
+        ),
         st.integers(0, 1 << 16),
     ),
     max_size=120,
@@ -58,43 +60,43 @@
         *(ready_endpoint(n, cell=n % 2, zone=n % 3) for n in range(1, 6)), kind=UpdateKind.CACHED_SNAPSHOT
     )
     for step, number in steps:
-        out = [
+        in_flight = [
             (tracked.request.id, n) for tracked in driver.requests.values() for n in sorted(tracked.in_flight)
         ]
         if step == "request":
             driver.request(
                 class_index=number % 3,
-                plan=number // 3 % 5,
+                plan_index=number // 3 % 5,
                 tenant=number // 15 % 4,
                 units=1.0 + number // 60 % 4,
                 entry_points=3,
                 time_remaining=None if number % 7 else number % 50 * MS,
             )
-        elif step == "outcome" and out:
-            request, attempt = out[number % len(out)]
-            driver.outcome(request, RESULTS[number // 64 % len(RESULTS)], attempt)
-        elif step == "counted" and driver.counter_calls:
+        elif step == "outcome" and in_flight:
+            request_id, attempt = in_flight[number % len(in_flight)]
+            driver.outcome(request_id, RESULTS[number // 64 % len(RESULTS)], attempt)
+        elif step == "counter_reply" and driver.counter_calls:
             result = Result.OK if number % 3 else RESULTS[number // 3 % len(RESULTS)]
             driver.counter_reply(float(number % 12), result)
         elif step == "wait":
-            answer_due_calls(driver)
+            time_out_counter_calls(driver)
             driver.wait(number % 2_000 * MS)
-        elif step == "expire" and driver.requests:
+        elif step == "disconnect" and driver.requests:
             driver.disconnect(list(driver.requests)[number % len(driver.requests)])
-        elif step == "list":
+        elif step == "update":
             state = list(EndpointState)[number % 3]
-            started = driver.now if number % 2 else 0
+            started_at = driver.now if number % 2 else 0
             n = number // 6 % 5 + 1
             driver.update_endpoints(
-                structs.replace(ready_endpoint(n, cell=n % 2, zone=n % 3), state=state, started_at=started)
+                structs.replace(ready_endpoint(n, cell=n % 2, zone=n % 3), state=state, started_at=started_at)
             )
-    answer_due_calls(driver)
+    time_out_counter_calls(driver)
     driver.wait(10 * SECOND)
     assert all(tracked.is_answered for tracked in driver.requests.values())
 
 
-def answer_due_calls(driver: Driver) -> None:
-    """A call that nobody answered ends as a time-out at the counter's limit."""
+def time_out_counter_calls(driver: Driver) -> None:
+    """Let time pass, at most the counter's timeout, and end all calls without a reply as timed out."""
     if driver.counter_calls and driver.settings.counter is not None:
         driver.wait(min(driver.settings.counter.timeout, 8 * MS))
         while driver.counter_calls:
@@ -102,11 +104,11 @@
 
 
 def test_the_same_events_give_the_same_actions() -> None:
-    def play() -> list[object]:
+    def run() -> list[object]:
         driver = Driver(seed=5)
         for n in range(50):
-            send = driver.admit(tenant=n)
-            driver.outcome(send.request_id, Result.ERROR if n % 5 == 0 else Result.OK)
+            attempt = driver.admit(tenant=n)
+            driver.outcome(attempt.request_id, Result.ERROR if n % 5 == 0 else Result.OK)
         return list(driver.actions)
 
-    assert play() == play()
+    assert run() == run()
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -85,7 +85,7 @@
         driver.wait(125 * MS)
         driver.finish_all()
         assert admitted <= 8 + 2 * (step + 1) * 0.125 + 1
-    assert totals.started > 3
+    assert totals.created_count > 3
 
 
 def test_overloaded_counter_leaves_the_decision_to_the_estimate() -> None:
--- a/tests/policy/test_rate_ceiling.py
+++ b/tests/policy/test_rate_ceiling.py
@@ -1,7 +1,7 @@
 """The hard limit on a tenant's rate."""
 
 from tests.support.gateway_driver import (
-    CEILING,
+    CEILING_PLAN,
     NOT_IDEMPOTENT,
     SECOND,
     TENANT,
@@ -15,7 +15,7 @@
     driver = Driver()
     driver.wait(10 * SECOND)
     for _ in range(40):  # 20 units is this gateway's third of the ceiling
-        driver.request(plan=CEILING, entry_points=3)
+        driver.request(plan_index=CEILING_PLAN, entry_points=3)
         if driver.counter_calls:
             driver.counter_reply(1.0)  # the driver raises RuleViolationError where too much passes
         driver.finish_all()
@@ -24,10 +24,12 @@
 
 def test_ceiling_is_empty_after_a_restart() -> None:
     driver = Driver()
-    driver.request(plan=CEILING, entry_points=3, class_index=NOT_IDEMPOTENT)
+    driver.request(plan_index=CEILING_PLAN, entry_points=3, class_index=NOT_IDEMPOTENT)
     assert action_names(driver.actions)[-1] == "Reject"
 
 
 def test_restart_does_not_refill_the_ceiling_in_a_large_fleet() -> None:
     driver = Driver(LARGE_FLEET, endpoint_count=40)
-    assert action_names(driver.request(plan=CEILING, tenant=TENANT, units=4.0, entry_points=7)) == ["Reject"]
+    assert action_names(
+        driver.request(plan_index=CEILING_PLAN, tenant=TENANT, units=4.0, entry_points=7)
+    ) == ["Reject"]
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -1,4 +1,7 @@
-"""A deployment and a driver for tests of the policy; every action is checked against the rules."""
+"""Settings and a driver for tests of the policy; every action is checked against the rules.
+
+All timestamps and durations are whole microseconds.
+"""
 
 from msgspec import structs
 
@@ -34,7 +37,7 @@
 TENANT = 77
 
 IDEMPOTENT, IDEMPOTENCY_KEY, NOT_IDEMPOTENT = 0, 1, 2
-PLAIN, CEILING = 0, 1
+QUOTA_PLAN, CEILING_PLAN = 0, 1
 
 SETTINGS = Settings(
     request_classes=(
@@ -74,36 +77,36 @@
 
 
 def ready_endpoint(number: int, **fields: int) -> Endpoint:
-    """A ready endpoint."""
+    """Return a ready endpoint."""
     return structs.replace(Endpoint(f"10.0.0.{number}:80", EndpointState.READY), **fields)
 
 
 class CounterTotals:
-    """Named counters: each is forgotten when the lifetime that its first call gave is over."""
+    """Named counters; each expires after the lifetime given by its first call."""
 
     def __init__(self) -> None:
         self._totals: dict[int, tuple[float, int]] = {}
-        self.started = 0  # how often a name began
+        self.created_count = 0  # counters created, again after expiry included
 
     def add(self, call: CounterAdd, now: int) -> float:
-        """The total after this call."""
-        total, until = self._totals.get(call.name, (0.0, now))
-        if until <= now:
-            total, until = 0.0, now + call.lifetime
-            self.started += 1
-        self._totals[call.name] = (total + call.amount, until)
+        """Return the total after this call."""
+        total, expires_at = self._totals.get(call.name, (0.0, now))
+        if expires_at <= now:
+            total, expires_at = 0.0, now + call.lifetime
+            self.created_count += 1
+        self._totals[call.name] = (total + call.amount, expires_at)
         return total + call.amount
 
 
 class Driver:
-    """Drives one gateway through events at a virtual time; a RuleChecker checks what it does."""
+    """Drives one gateway with events in virtual time; a RuleChecker checks its actions."""
 
     def __init__(self, settings: Settings = SETTINGS, endpoint_count: int = 4, seed: int = 1) -> None:
         self.settings, self.now = settings, START
         self.gateway = Gateway(settings, seed, self.now)
         self.rules = RuleChecker(settings)
-        self.timers: list[tuple[int, int]] = []  # when they fire, and their tokens
-        self.counter_calls: list[CounterAdd] = []  # without a reply, the oldest first
+        self.timers: list[tuple[int, int]] = []  # when each fires, and its token
+        self.counter_calls: list[CounterAdd] = []  # calls without a reply, oldest first
         self.actions: list[Action] = []
         self.next_request_id = 1
         if endpoint_count:
@@ -112,26 +115,26 @@
 
     @property
     def requests(self) -> dict[int, TrackedRequest]:
-        """All requests so far."""
+        """All requests so far, by id."""
         return self.rules.requests
 
     @property
     def endpoints(self) -> dict[str, Endpoint]:
-        """All endpoints that the list has named, as it named them last."""
+        """All endpoints that the list has ever contained, as last updated."""
         return self.rules.endpoints
 
     # --- events -----------------------------------------------------------------------------------------
 
     def handle(self, event: Event) -> list[Action]:
-        """Let the gateway take an event; returns its actions."""
+        """Let the gateway handle an event; returns its actions."""
         actions = self.gateway.handle(self.now, event)
         for action in actions:
-            self._carry_out(action)
+            self._execute(action)
         self.actions += actions
         return actions
 
     def update_endpoints(self, *endpoints: Endpoint, kind: UpdateKind = UpdateKind.DELTA) -> list[Action]:
-        """Report an update of the endpoint list."""
+        """Send an endpoint update."""
         update = EndpointUpdate(kind, 1, endpoints)
         self.rules.update_endpoints(update, self.now)
         return self.handle(update)
@@ -139,29 +142,29 @@
     def request(
         self,
         class_index: int = IDEMPOTENT,
-        plan: int = PLAIN,
+        plan_index: int = QUOTA_PLAN,
         tenant: int = TENANT,
         units: float = 1.0,
         time_remaining: int | None = None,
         entry_points: int = 1,
     ) -> list[Action]:
-        """Let a request arrive, with the deadline of its class where no other time is given."""
+        """Send a request, by default with the deadline of its class as time remaining."""
         if time_remaining is None:
             time_remaining = self.settings.request_classes[class_index].deadline
         request = Request(
-            self.next_request_id, class_index, plan, tenant, units, time_remaining, entry_points
+            self.next_request_id, class_index, plan_index, tenant, units, time_remaining, entry_points
         )
         self.next_request_id += 1
         self.requests[request.id] = TrackedRequest(request, self.now + time_remaining)
         return self.handle(request)
 
     def counter_reply(self, total: float = 0.0, result: Result = Result.OK, call: int = 0) -> list[Action]:
-        """Reply to a call to the counter, the oldest by default."""
+        """Reply to a counter call, by default the oldest."""
         name = self.counter_calls.pop(call).name
         return self.handle(CounterReply(name, result, 1 * MS, total))
 
     def admit(self, **fields: int | float) -> StartAttempt:
-        """Let a request arrive that the counter admits; returns its attempt."""
+        """Send a request and have the counter admit it; returns its attempt."""
         self.request(**fields)  # type: ignore[arg-type]
         actions = self.counter_reply(1.0) if self.counter_calls else self.actions
         return next(action for action in reversed(actions) if isinstance(action, StartAttempt))
@@ -171,9 +174,9 @@
         request_id: int,
         result: Result = Result.OK,
         attempt: int | None = None,
-        load: tuple[float, ...] = (),
+        load_report: tuple[float, ...] = (),
     ) -> list[Action]:
-        """End an attempt, the last one by default."""
+        """End an attempt, by default the last one."""
         tracked = self.requests[request_id]
         number = max(tracked.attempts) if attempt is None else attempt
         record = tracked.attempts[number]
@@ -183,29 +186,31 @@
         tracked.is_answered = tracked.is_answered or result is Result.OK
         elapsed, is_final = self.now - record.started_at, tracked.is_answered
         return self.handle(
-            AttemptOutcome(request_id, number, record.endpoint, result, elapsed, is_final, load_report=load)
+            AttemptOutcome(
+                request_id, number, record.endpoint, result, elapsed, is_final, load_report=load_report
+            )
         )
 
     def open_requests(self, tenant_id: int) -> int:
-        """Return the requests of a tenant with attempts in flight, as the gateway counts them."""
+        """Return the gateway's count of a tenant's requests with attempts in flight."""
         tenant = self.gateway.tenants.get(tenant_id)
         assert tenant is not None
         return tenant.concurrency.open_requests
 
     def finish_all(self) -> None:
-        """End all attempts in flight with good responses."""
+        """End all attempts in flight successfully."""
         for tracked in list(self.requests.values()):
             for attempt in sorted(tracked.in_flight):
                 self.outcome(tracked.request.id, Result.OK, attempt)
 
     def disconnect(self, request_id: int) -> list[Action]:
-        """Let the client of a request disconnect."""
+        """Disconnect the client of a request."""
         self.requests[request_id].is_answered = True
         return self.handle(ClientDisconnected(request_id))
 
-    def wait(self, span: int) -> list[Action]:
-        """Let time pass: timers fire, attempts run into their timeouts."""
-        end = self.now + span
+    def wait(self, duration: int) -> list[Action]:
+        """Advance the virtual time: due timers fire, and attempts reach their timeouts."""
+        end = self.now + duration
         seen = len(self.actions)
         while True:
             due = self._next_due()
@@ -223,7 +228,7 @@
         return self.actions[seen:]
 
     def _next_due(self) -> tuple[int, bool, int, int] | None:
-        """Return when what is due next is due, whether it is an attempt, and its numbers."""
+        """Return the next due timer or attempt timeout: when, whether it is an attempt, and its numbers."""
         due = [(at, False, token, 0) for at, token in self.timers]
         due += [
             (tracked.attempts[attempt].times_out_at, True, tracked.request.id, attempt)
@@ -234,7 +239,7 @@
 
     # --- actions ----------------------------------------------------------------------------------------
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case StartAttempt():
                 self.rules.check_attempt(action, self.now)
@@ -254,5 +259,5 @@
 
 
 def action_names(actions: list[Action]) -> list[str]:
-    """Return the names of actions, timers left out."""
+    """Return the type names of actions, except SetTimer."""
     return [type(action).__name__ for action in actions if not isinstance(action, SetTimer)]
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -1,4 +1,7 @@
-"""Checks every action of a gateway against the rules that no gateway may break."""
+"""Checks every action of a gateway against the rules that no gateway may break.
+
+All timestamps and durations are whole microseconds.
+"""
 
 from __future__ import annotations
 
@@ -8,17 +11,17 @@
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, Request, UpdateKind
 from rushroad.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-SECOND = 1_000_000  # microseconds
-ROUNDING = 1e-6  # units
+SECOND = 1_000_000
+ROUNDING_TOLERANCE = 1e-6  # units
 
 
 class RuleViolationError(AssertionError):
-    """An action breaks one of the rules."""
+    """Raised for an action that breaks one of the rules."""
 
 
 @dataclass(frozen=True)
 class AttemptRecord:
-    """An attempt that was started; times in microseconds."""
+    """An attempt that was started."""
 
     endpoint: str
     started_at: int
@@ -27,7 +30,7 @@
 
 @dataclass
 class TrackedRequest:
-    """What the checker knows of a request."""
+    """The state that the checker keeps of a request."""
 
     request: Request
     deadline: int
@@ -38,20 +41,20 @@
 
 
 class RuleChecker:
-    """Follows requests and the endpoint list, and raises RuleViolationError where an action breaks a rule."""
+    """Tracks requests and the endpoint list; raises RuleViolationError if an action breaks a rule."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.requests: dict[int, TrackedRequest] = {}
         self.endpoints: dict[str, Endpoint] = {}
-        self.unavailable_since: dict[str, int] = {}  # endpoints that drain or were removed
-        self._ceilings: dict[int, tuple[float, int]] = {}  # units left of this gateway's part, and when
+        self.unavailable_since: dict[str, int] = {}  # draining or removed endpoints
+        self._ceilings: dict[int, tuple[float, int]] = {}  # units left of this gateway's share, and when
 
     def update_endpoints(self, update: EndpointUpdate, now: int) -> None:
-        """Follow an update of the endpoint list."""
+        """Apply an endpoint update."""
         if update.kind is not UpdateKind.DELTA:
-            named = {entry.name for entry in update.endpoints}
-            for name in [name for name in self.endpoints if name not in named]:
+            listed = {entry.name for entry in update.endpoints}
+            for name in [name for name in self.endpoints if name not in listed]:
                 self.unavailable_since.setdefault(name, now)
         for entry in update.endpoints:
             self.endpoints[entry.name] = entry
@@ -61,30 +64,30 @@
                 self.unavailable_since.setdefault(entry.name, now)
 
     def check_answered_in_time(self, now: int) -> None:
-        """Raise where a request is past its deadline without an answer."""
+        """Raise if a request has no answer although its deadline and the answer slack have passed."""
         for tracked in self.requests.values():
             if not tracked.is_answered and now > tracked.deadline + self.settings.safety.answer_slack:
                 raise RuleViolationError(f"request {tracked.request.id} got no answer in time")
 
     def check_answer(self, answer: object, request_id: int) -> None:
-        """Check a final answer: the only one, and a rejection only where a retry does no harm."""
+        """Check that a final answer is the only one, and a rejection only if the request is safe to retry."""
         tracked = self.requests[request_id]
         if tracked.is_answered:
             raise RuleViolationError(f"request {request_id} answered twice")
         tracked.is_answered = True
         if not isinstance(answer, Reject) or not (tracked.possible_executions or tracked.in_flight):
             return
-        request_class = self._class_of(tracked)
+        request_class = self._request_class_of(tracked)
         is_keyed = request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
         is_scoped = request_class.deduplication_scope is not DeduplicationScope.ALL
         if request_class.idempotency is Idempotency.NOT_IDEMPOTENT or (is_keyed and is_scoped):
             raise RuleViolationError("rejected a request that may have been executed")
 
-    def _class_of(self, tracked: TrackedRequest) -> RequestClass:
+    def _request_class_of(self, tracked: TrackedRequest) -> RequestClass:
         return self.settings.request_classes[tracked.request.class_index]
 
     def check_attempt(self, action: StartAttempt, now: int) -> None:
-        """Check a new attempt, and follow it."""
+        """Check a new attempt, and track it."""
         tracked, limits = self.requests[action.request_id], self.settings.limits
         if tracked.is_answered:
             raise RuleViolationError(f"request {action.request_id} forwarded after its final answer")
@@ -94,7 +97,7 @@
             raise RuleViolationError("too many attempts")
         unavailable_since = self.unavailable_since.get(action.endpoint, now)
         if now > unavailable_since + self.settings.safety.drain_grace:
-            raise RuleViolationError(f"{action.endpoint} drains or was removed")
+            raise RuleViolationError(f"{action.endpoint} is draining or was removed")
         self._check_possible_executions(tracked, action, now)
         if not tracked.attempts:
             self._check_ceiling(tracked.request, now)
@@ -104,7 +107,7 @@
         tracked.attempts[number] = AttemptRecord(action.endpoint, now, times_out_at)
 
     def _check_possible_executions(self, tracked: TrackedRequest, action: StartAttempt, now: int) -> None:
-        request_class = self._class_of(tracked)
+        request_class = self._request_class_of(tracked)
         in_flight = [tracked.attempts[number] for number in sorted(tracked.in_flight)]
         for attempt in tracked.possible_executions + in_flight:
             if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
@@ -126,7 +129,7 @@
         return endpoint.cell == earlier.cell
 
     def _check_ceiling(self, request: Request, now: int) -> None:
-        """Check this gateway's part of the ceiling: if each keeps it, all together keep the ceiling."""
+        """Check this gateway's share of the ceiling: if all gateways keep theirs, the fleet keeps it."""
         plan = self.settings.plans[request.plan_index]
         if plan.ceiling_rate <= 0:
             return
@@ -134,6 +137,6 @@
         units, updated_at = self._ceilings.get(request.tenant, (burst, now))
         refilled = plan.ceiling_rate / request.entry_points * (now - updated_at) / SECOND
         units = min(burst, units + refilled) - request.units
-        if units < -ROUNDING:
-            raise RuleViolationError("over this gateway's part of the ceiling")
+        if units < -ROUNDING_TOLERANCE:
+            raise RuleViolationError("over this gateway's share of the ceiling")
         self._ceilings[request.tenant] = (units, now)
--- a/tests/support/settings_document.py
+++ b/tests/support/settings_document.py
@@ -1,4 +1,4 @@
-"""A settings document as the simulator sends it, with a key that the gateway does not know."""
+"""A settings document as the simulator sends it, with keys that the gateway does not know."""
 
 from typing import Any
 
