--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -342,13 +342,13 @@
         else:
             self._apply_admission(self.concurrency_quota.decide_by_local_share(pending), pending)
 
-    def _check_attempt(self, request_id: int, number: int) -> None:
+    def _check_attempt(self, request_id: int, attempt_number: int) -> None:
         """Hedge or cancel an attempt if its endpoint is silent.
 
         An attempt that is merely slow is left alone: waiting for it is cheaper than repeating the work.
         """
         pending = self.pending_requests.get(request_id)
-        attempt = pending.in_flight.get(number) if pending is not None else None
+        attempt = pending.in_flight.get(attempt_number) if pending is not None else None
         if pending is None or attempt is None:
             return
         if not self.retry_policy.has_budget or self.limiter.pooled is not None:
@@ -356,7 +356,7 @@
         if not self.outcome_recorder.eject_if_silent(attempt.endpoint, attempt.started_at, self._now):
             return
         if not self.retry_policy.may_hedge(pending):
-            self._outbox.add(CancelAttempt(request_id, number))
+            self._outbox.add(CancelAttempt(request_id, attempt_number))
             return
         other = self._choose_endpoint(pending, attempt.endpoint.entry.name)
         if other is not None:
@@ -368,8 +368,8 @@
     def _reject_or_fail(self, pending: PendingRequest) -> None:
         """Give the final answer to a request without a response: a rejection if it is safe to retry."""
         if self._settings.limits.cancellation_allowed:
-            for number in pending.in_flight:
-                self._outbox.add(CancelAttempt(pending.request.id, number))
+            for attempt_number in pending.in_flight:
+                self._outbox.add(CancelAttempt(pending.request.id, attempt_number))
         if not pending.attempt_count:
             if not pending.awaiting_admission:
                 self.quota.release_admitted(pending)
