--- a/rushroad/policy/concurrency_usage.py
+++ b/rushroad/policy/concurrency_usage.py
@@ -12,10 +12,10 @@
         self.open_requests = 0  # with attempts in flight at this gateway
         self.full_until = now  # until then no slot is free at any gateway, by the last total
 
-    def opened(self) -> None:
+    def request_opened(self) -> None:
         """Count a request whose first attempt is in flight."""
         self.open_requests += 1
 
-    def closed(self) -> None:
+    def request_closed(self) -> None:
         """Count a request without attempts in flight."""
         self.open_requests = max(0, self.open_requests - 1)
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -177,7 +177,7 @@
         self.pending[request.id] = pending
         pending.objective_at -= self.client_retries.elapsed(request, request_class, self._is_overloaded())
         self.retry_policy.request_arrived()
-        self.quota.assess(pending)
+        self.quota.estimate_rejection(pending)
         return pending
 
     def _is_overloaded(self) -> bool:
@@ -188,7 +188,7 @@
     def _can_be_served(self, pending: PendingRequest) -> bool:
         """Whether time, hard limits and capacity allow a request, whatever its quota."""
         usable_time = min(pending.counter_wait, pending.objective_at - self._now)
-        if usable_time <= self._settings.tick or not self.quota.permits(pending):
+        if usable_time <= self._settings.tick or not self.quota.is_within_hard_limits(pending):
             return False
         deficit = self.load_shedding.priority_deficit(pending)
         return self.load_shedding.has_capacity(self.endpoints.ready, self._now, deficit)
@@ -258,7 +258,7 @@
         if number == 0:
             pending.tenant.ceiling.take(request.units)
         if not pending.in_flight:
-            pending.tenant.concurrency.opened()
+            pending.tenant.concurrency.request_opened()
         self._outbox.add(StartAttempt(request.id, endpoint.entry.name, timeout))
         self.load_shedding.attempt_started(now)
         endpoint.concurrency.in_flight[(request.id, number)] = now
@@ -282,7 +282,7 @@
             return
         attempt = pending.in_flight.pop(outcome.attempt, None)
         if outcome.final or not pending.in_flight:  # else a hedged attempt is still in flight
-            pending.tenant.concurrency.closed()
+            pending.tenant.concurrency.request_closed()
         if outcome.final:
             self._close(pending, outcome)
             return
@@ -308,9 +308,9 @@
         if pending is None:
             return
         if pending.attempts == 0:
-            self.quota.return_units(pending, self._now)
+            self.quota.return_counted_units(pending, self._now)
         elif pending.in_flight:
-            pending.tenant.concurrency.closed()
+            pending.tenant.concurrency.request_closed()
         if not pending.in_flight:
             self.concurrency_quota.release(event.request_id)
 
@@ -367,8 +367,8 @@
                 self._outbox.add(CancelAttempt(pending.request.id, number))
         if not pending.attempts:
             if not pending.awaiting_counter:
-                self.quota.release_admitted(pending)
-            self.quota.return_units(pending, self._now)
+                self.quota.undo_admission(pending)
+            self.quota.return_counted_units(pending, self._now)
         if not pending.in_flight:
             self.concurrency_quota.release(pending.request.id)
         if pending.is_retry_harmless:
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -43,7 +43,7 @@
         # In a large fleet a tenant may not come here again: requests that call stand for those that don't.
         self.samples_requests = False
 
-    def assess(self, pending: PendingRequest) -> None:
+    def estimate_rejection(self, pending: PendingRequest) -> None:
         """Note on a request how likely it is to be rejected, and whether that makes it over the quota."""
         plan, usage = pending.plan, pending.tenant.usage
         rejections = usage.rejections + self._rejection_rates[pending.request.plan_index]
@@ -52,7 +52,7 @@
         cost = 1.0 + plan.overage_cost - plan.overage_weight
         pending.is_over_quota = pending.rejection_probability * cost >= 1.0
 
-    def permits(self, pending: PendingRequest) -> bool:
+    def is_within_hard_limits(self, pending: PendingRequest) -> bool:
         """Whether this gateway's own share of the hard limits allows a request, whatever the counter says."""
         if not within_local_share(pending, self._counter is not None):
             return False
@@ -134,7 +134,7 @@
         elif not self.samples_requests and not pending.counted_units:
             others = units * usage.others_per_own(pending.request.entry_points)
         # With those of many others one request may exceed the burst: it fits when nothing is used.
-        if not self._fits(pending, units + others, now) or not self.permits(pending):
+        if not self._fits(pending, units + others, now) or not self.is_within_hard_limits(pending):
             return Admission.REJECT_OVER_ESTIMATE
         usage.enter_window(now)
         usage.used += units + others
@@ -175,12 +175,12 @@
         usage.rejections += rejected
         rate = self._rejection_rates[plan_index]
         self._rejection_rates[plan_index] = rate + REJECTION_SMOOTHING * (rejected - rate)
-        if rejected or not self.permits(pending):
+        if rejected or not self.is_within_hard_limits(pending):
             return Admission.REJECT_OVER_QUOTA
         usage.used += pending.request.units
         return Admission.ADMIT
 
-    def return_units(self, pending: PendingRequest, now: int) -> None:
+    def return_counted_units(self, pending: PendingRequest, now: int) -> None:
         """Take the units of a request that was never forwarded off the counter.
 
         While the counter is away or overloaded that goes with the next call for the tenant.
@@ -193,7 +193,7 @@
         else:
             pending.tenant.usage.unreported += units
 
-    def release_admitted(self, pending: PendingRequest) -> None:
+    def undo_admission(self, pending: PendingRequest) -> None:
         """Give the units of an admitted request back that is not forwarded after all."""
         usage = pending.tenant.usage
         usage.used = max(0.0, usage.used - pending.request.units)
