--- a/tests/policy/test_active_endpoints.py
+++ b/tests/policy/test_active_endpoints.py
@@ -14,7 +14,7 @@
     Driver,
     ready_endpoint,
 )
-from tests.support.policy_scenarios import LARGE_FLEET_WITHOUT_COUNTER, ready_endpoints
+from tests.support.policy_scenarios import LARGE_FLEET_WITHOUT_COUNTER, ready_endpoints_of_two_classes
 
 
 def test_draining_endpoint_gets_no_new_attempt() -> None:
@@ -34,6 +34,8 @@
     sizes = []
     for index in range(200):
         driver = Driver(replace(LARGE_FLEET_WITHOUT_COUNTER, gateway_index=index), endpoint_count=0)
-        driver.update_endpoints(*ready_endpoints(endpoint_count), kind=UpdateKind.CACHED_SNAPSHOT)
+        driver.update_endpoints(
+            *ready_endpoints_of_two_classes(endpoint_count), kind=UpdateKind.CACHED_SNAPSHOT
+        )
         sizes.append(len(driver.gateway.endpoints.ready))
     assert MIN_SUBSET_SIZE <= sum(sizes) / len(sizes) <= 1.03 * MIN_SUBSET_SIZE
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -17,7 +17,7 @@
     action_names,
     ready_endpoint,
 )
-from tests.support.policy_scenarios import LARGE_FLEET, reply_after
+from tests.support.policy_scenarios import LARGE_FLEET, reply_to_oldest_call
 
 
 def test_overloaded_endpoint_gets_fewer_attempts() -> None:
@@ -67,7 +67,7 @@
         for tenant in range(4):
             driver.request(tenant=1000 * second + tenant)
             while driver.counter_calls:
-                reply_after(driver, 1.0)
+                reply_to_oldest_call(driver, 1.0)
         driver.wait(900 * MS)  # nine tenths of the latency objective
         driver.finish_all()
         driver.wait(100 * MS)
--- a/tests/policy/test_counter_breaker.py
+++ b/tests/policy/test_counter_breaker.py
@@ -8,7 +8,7 @@
     Driver,
     action_names,
 )
-from tests.support.policy_scenarios import LARGE_FLEET, overload_counter, reply_after
+from tests.support.policy_scenarios import LARGE_FLEET, overload_counter, reply_to_oldest_call
 
 
 def test_open_breaker_lets_few_trial_calls_through_and_closes_after_a_reply() -> None:
@@ -72,14 +72,14 @@
         for tenant in range(2000, 2040):
             asked += action_names(driver.request(tenant=tenant)).count("CounterAdd")
             while driver.counter_calls:
-                reply_after(driver, 1.0, 45 * MS)  # it answers, but only just: the share stays
+                reply_to_oldest_call(driver, 1.0, 45 * MS)  # it answers, but only just: the share stays
             driver.finish_all()
             driver.wait(200 * MS)
     assert 40 <= asked <= 200  # a tenth of the requests is called for at the least
     for tenant in range(3000, 3100):
         driver.request(tenant=tenant)
         while driver.counter_calls:
-            reply_after(driver, 1.0)
+            reply_to_oldest_call(driver, 1.0)
         driver.finish_all()
         driver.wait(200 * MS)
     assert action_names(driver.request(tenant=4000)) == ["CounterAdd"]
--- a/tests/policy/test_endpoint_updates.py
+++ b/tests/policy/test_endpoint_updates.py
@@ -19,7 +19,7 @@
     action_names,
     ready_endpoint,
 )
-from tests.support.policy_scenarios import LARGE_FLEET, ready_endpoints
+from tests.support.policy_scenarios import LARGE_FLEET, ready_endpoints_of_two_classes
 
 
 def test_polled_list_is_watched_and_retried_after_a_failure() -> None:
@@ -40,7 +40,7 @@
 
 def test_restarted_gateway_of_a_large_fleet_forwards_at_once_by_its_cached_list() -> None:
     driver = Driver(LARGE_FLEET, endpoint_count=0)
-    driver.update_endpoints(*ready_endpoints(84), kind=UpdateKind.CACHED_SNAPSHOT)
+    driver.update_endpoints(*ready_endpoints_of_two_classes(84), kind=UpdateKind.CACHED_SNAPSHOT)
     for cls in (IDEMPOTENT, IDEMPOTENCY_KEY, NOT_IDEMPOTENT):
         assert driver.admit(class_index=cls, tenant=cls, entry_points=150)
     assert LARGE_FLEET.request_classes[NOT_IDEMPOTENT].idempotency is Idempotency.NOT_IDEMPOTENT
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -14,7 +14,7 @@
     SECOND,
     Driver,
 )
-from tests.support.policy_scenarios import LARGE_FLEET_WITHOUT_COUNTER, ready_endpoints
+from tests.support.policy_scenarios import LARGE_FLEET_WITHOUT_COUNTER, ready_endpoints_of_two_classes
 
 
 def test_gateways_without_load_reports_do_not_all_choose_the_same_endpoint() -> None:
@@ -38,7 +38,7 @@
     gateways: int, endpoint_count: int, most: int
 ) -> None:
     driver = Driver(replace(LARGE_FLEET_WITHOUT_COUNTER, fleet_size=gateways), endpoint_count=0)
-    driver.update_endpoints(*ready_endpoints(endpoint_count), kind=UpdateKind.CACHED_SNAPSHOT)
+    driver.update_endpoints(*ready_endpoints_of_two_classes(endpoint_count), kind=UpdateKind.CACHED_SNAPSHOT)
     driver.wait(1 * SECOND)  # a long list is reviewed in parts
     seen: list[ActiveEndpoint] = []
     wait = driver.gateway.load_balancer.expected_wait
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -10,7 +10,7 @@
     Driver,
     action_names,
 )
-from tests.support.policy_scenarios import LARGE_FLEET, reply_after
+from tests.support.policy_scenarios import LARGE_FLEET, reply_to_oldest_call
 
 
 def test_overload_is_rejected_before_an_attempt_starts() -> None:
@@ -29,7 +29,7 @@
     driver = Driver(LARGE_FLEET, endpoint_count=40)
     for tenant in range(3):
         actions = action_names(driver.request(tenant=tenant))
-        assert "StartAttempt" in (reply_after(driver, 1.0) if driver.counter_calls else actions)
+        assert "StartAttempt" in (reply_to_oldest_call(driver, 1.0) if driver.counter_calls else actions)
 
 
 def test_tenants_over_their_quota_are_rejected_first_when_capacity_is_short() -> None:
@@ -39,7 +39,7 @@
         for _ in range(30):  # totals over the allowance, windows apart
             driver.request(tenant=1)
             while driver.counter_calls:
-                reply_after(driver, 40.0)
+                reply_to_oldest_call(driver, 40.0)
             driver.finish_all()
             driver.wait(8 * SECOND + 100 * MS)  # behind the time in which a window may still end
         driver.gateway.load_shedding.set_credit(0.4, driver.now)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -12,7 +12,11 @@
     Driver,
     ready_endpoint,
 )
-from tests.support.policy_scenarios import LARGE_FLEET_WITHOUT_COUNTER, next_attempt_after, with_known_latency
+from tests.support.policy_scenarios import (
+    LARGE_FLEET_WITHOUT_COUNTER,
+    next_attempt_after,
+    with_latency_history,
+)
 
 
 def test_failing_endpoint_is_ejected() -> None:
@@ -29,7 +33,7 @@
 
 
 def test_attempt_at_a_silent_endpoint_is_cancelled_and_retried() -> None:
-    driver = with_known_latency(Driver(endpoint_count=4))
+    driver = with_latency_history(Driver(endpoint_count=4))
     stuck = driver.admit(tenant=50)
     actions = driver.wait(600 * MS)
     assert CancelAttempt(stuck.request_id, 0) in actions
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -23,7 +23,7 @@
     action_names,
     ready_endpoint,
 )
-from tests.support.policy_scenarios import LARGE_FLEET, overload_counter, reply_after
+from tests.support.policy_scenarios import LARGE_FLEET, overload_counter, reply_to_oldest_call
 
 
 def test_rejected_request_takes_its_units_off_the_counter() -> None:
@@ -378,7 +378,7 @@
             added += action.amount if isinstance(action, CounterAdd) else 0.0
             admitted += isinstance(action, StartAttempt)
         while driver.counter_calls:
-            admitted += reply_after(driver, 1.0, 45 * MS).count("StartAttempt")
+            admitted += reply_to_oldest_call(driver, 1.0, 45 * MS).count("StartAttempt")
         driver.finish_all()
         driver.wait(200 * MS)
     assert 0.7 * admitted < added < 1.3 * admitted
@@ -393,7 +393,7 @@
     for _ in range(80):
         driver.request()
         while driver.counter_calls:
-            reply_after(driver, 40.0, 45 * MS)
+            reply_to_oldest_call(driver, 40.0, 45 * MS)
         driver.finish_all()
         driver.wait(8 * SECOND)  # as long as a window
         attempts.append(action_names(driver.actions).count("StartAttempt"))
@@ -403,10 +403,10 @@
 def test_others_use_over_a_window_does_not_count_as_used_at_once() -> None:
     driver = Driver(replace(LARGE_FLEET, fleet_size=40), endpoint_count=60)
     driver.request(entry_points=30)
-    assert reply_after(driver, 1.0) == ["StartAttempt"]
+    assert reply_to_oldest_call(driver, 1.0) == ["StartAttempt"]
     driver.wait(6 * SECOND)  # others took eight of the twelve units that were refilled meanwhile
     driver.request(entry_points=30)
-    assert reply_after(driver, 10.0) == ["StartAttempt"]
+    assert reply_to_oldest_call(driver, 10.0) == ["StartAttempt"]
 
 
 def test_gateways_that_see_little_of_a_tenant_keep_its_quota_together() -> None:
@@ -438,7 +438,7 @@
     for tenant in range(2000, 2040):
         driver.request(tenant=tenant)
         while driver.counter_calls:
-            actions = reply_after(driver, 50.0, 45 * MS)
+            actions = reply_to_oldest_call(driver, 50.0, 45 * MS)
             refused += actions.count("Reject")
             assert "CounterAdd" not in actions
         driver.finish_all()
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -26,7 +26,7 @@
     action_names,
     ready_endpoint,
 )
-from tests.support.policy_scenarios import next_attempt_after, with_known_latency
+from tests.support.policy_scenarios import next_attempt_after, with_latency_history
 
 HEDGING = replace(SETTINGS, limits=Limits(max_attempts=4, cancellation_allowed=True, hedging_allowed=True))
 
@@ -110,7 +110,7 @@
 def test_attempt_at_a_silent_endpoint_is_hedged_where_that_is_allowed() -> None:
     # It may only be slow, and what runs there goes on in any case. A cancel ends the connection and makes the
     # gateway take what it gave up for work that still waits there.
-    driver = with_known_latency(Driver(HEDGING))
+    driver = with_latency_history(Driver(HEDGING))
     attempt = driver.admit()
     assert action_names(driver.wait(600 * MS)) == ["StartAttempt"]
     second = next_attempt_after(attempt, driver)
@@ -123,13 +123,13 @@
 
 @pytest.mark.parametrize("class_index", [IDEMPOTENCY_KEY, NOT_IDEMPOTENT])
 def test_request_that_is_not_idempotent_is_not_hedged(class_index: int) -> None:
-    driver = with_known_latency(Driver(HEDGING))
+    driver = with_latency_history(Driver(HEDGING))
     driver.admit(class_index=class_index)
     assert "StartAttempt" not in action_names(driver.wait(700 * MS))
 
 
 def test_retry_gets_all_the_remaining_time() -> None:
-    driver = with_known_latency(Driver())
+    driver = with_latency_history(Driver())
     attempt = driver.admit()
     assert action_names(driver.wait(600 * MS)) == ["CancelAttempt"]
     driver.outcome(attempt.request_id, Result.CANCELLED)
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -12,8 +12,8 @@
     LONG_TIMEOUT,
     SHORT_TIMEOUT,
     RecordedReplies,
-    all_connected,
-    play_calls,
+    run_with_counter_client,
+    wait_until_connected,
 )
 from tests.support.gateway_driver import Driver, action_names
 from tests.support.loopback import LOCAL, Peer
@@ -33,7 +33,7 @@
         assert replies.late.get_nowait() == LateCounterReply(8, 1.0, 1.0)
         assert replies.late.empty()
 
-    play_calls(scenario, SHORT_TIMEOUT)
+    run_with_counter_client(scenario, SHORT_TIMEOUT)
 
 
 def test_late_total_over_the_quota_makes_the_policy_reject_the_next_request() -> None:
@@ -51,7 +51,7 @@
         driver.handle(await replies.late.get())
         assert action_names(driver.request()) == ["Reject"]
 
-    play_calls(scenario, SHORT_TIMEOUT)
+    run_with_counter_client(scenario, SHORT_TIMEOUT)
 
 
 def test_call_on_a_connection_that_breaks_is_reset_and_without_a_connection_is_connect_failed() -> None:
@@ -65,14 +65,14 @@
             await asyncio.sleep(0)
         client.add(8, 1.0, 1_000_000)
         assert (await replies.get()).result is Result.CONNECT_FAILED
-        await all_connected(client)  # it connects again by itself
+        await wait_until_connected(client)  # it connects again by itself
         client.add(8, 1.0, 1_000_000)
         while (received := await peer.hear())[1] == b"":
             pass
         received[0].write(b"ok 1\r\n")
         assert (await replies.get()).result is Result.OK
 
-    play_calls(scenario, LONG_TIMEOUT)
+    run_with_counter_client(scenario, LONG_TIMEOUT)
 
 
 def test_names_of_a_connection_with_an_invalid_reply_go_on_on_the_other_in_order() -> None:
@@ -93,7 +93,7 @@
         received[0].write(b"ok 3\r\nok 6\r\n")
         assert [(await replies.get()).total for _ in range(2)] == [3.0, 6.0]
 
-    play_calls(scenario, LONG_TIMEOUT)
+    run_with_counter_client(scenario, LONG_TIMEOUT)
 
 
 def test_connection_that_had_replied_is_replaced_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -108,7 +108,7 @@
         while len(peer.writers) < 3:
             await asyncio.sleep(0.001)
 
-    play_calls(scenario, LONG_TIMEOUT)
+    run_with_counter_client(scenario, LONG_TIMEOUT)
 
 
 def test_calls_in_flight_end_on_the_old_address_and_new_ones_go_to_the_new_one_once_it_is_up() -> None:
@@ -132,7 +132,7 @@
             assert await peer.hear() == (writer, b"")  # closed, as no call is in flight on it
             client.close()
 
-    play_calls(scenario, LONG_TIMEOUT)
+    run_with_counter_client(scenario, LONG_TIMEOUT)
 
 
 def test_late_total_from_the_old_address_is_not_posted() -> None:
@@ -152,4 +152,4 @@
             assert replies.late.empty()
             client.close()
 
-    play_calls(scenario, SHORT_TIMEOUT)
+    run_with_counter_client(scenario, SHORT_TIMEOUT)
--- a/tests/support/counter_calls.py
+++ b/tests/support/counter_calls.py
@@ -1,4 +1,4 @@
-"""What tests of the counter client share: a client connected to a peer, and the replies that it reports."""
+"""Helpers for tests of the counter client: a client connected to a peer, and the replies that it posts."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,7 @@
 
 
 class RecordedReplies(asyncio.Queue[CounterReply]):
-    """Takes what the client posts: a queue of the replies, and one of the late replies."""
+    """Receives the events posted by the client: a queue of replies, with a second queue for late replies."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,23 +25,23 @@
             self.put_nowait(event)
 
 
-def play_calls(
+def run_with_counter_client(
     scenario: Callable[[CounterClient, Peer, RecordedReplies], Awaitable[None]], timeout: int
 ) -> None:
-    """Play a scenario with a client whose connections are all up, and whose counter is a peer."""
+    """Run a scenario with a client that has all its connections to a peer in the counter's place."""
 
     async def start() -> None:
         replies = RecordedReplies()
         async with Peer() as peer:
             client = CounterClient((LOCAL, peer.port), timeout, replies.post, asyncio.get_running_loop())
-            await all_connected(client)
+            await wait_until_connected(client)
             await scenario(client, peer, replies)
             client.close()
 
     run(start)
 
 
-async def all_connected(client: CounterClient) -> None:
-    """Wait until all connections are up."""
+async def wait_until_connected(client: CounterClient) -> None:
+    """Wait until all connections of the client are established."""
     while not all(connection is not None and connection.is_usable() for connection in client._connections):
         await asyncio.sleep(0.001)
