--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -10,7 +10,7 @@
 
 from rushroad.policy.admission import Admission
 from rushroad.policy.counter_breaker import CounterBreaker
-from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, concurrency_counter
+from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, concurrency_counter_name
 from rushroad.policy.counter_window import ROUNDING_MARGIN
 from rushroad.policy.durations import SECOND
 from rushroad.policy.events import CounterReply, Result
@@ -114,4 +114,4 @@
 
     def _call(self, tenant: Tenant, amount: float, waiting_request: int | None) -> None:
         call = CounterCall(CountedResource.CONCURRENCY, tenant, amount, waiting_request)
-        self._calls.add(concurrency_counter(tenant.id), call, SLOT_LIFETIME)
+        self._calls.add(concurrency_counter_name(tenant.id), call, SLOT_LIFETIME)
--- a/rushroad/policy/counter_calls.py
+++ b/rushroad/policy/counter_calls.py
@@ -22,17 +22,17 @@
     CONCURRENCY = auto()
 
 
-def units_counter(tenant_id: int) -> int:
+def units_counter_name(tenant_id: int) -> int:
     """Return the name of the counter of a tenant's units."""
     return tenant_id << TENANT_SHIFT
 
 
-def concurrency_counter(tenant_id: int) -> int:
+def concurrency_counter_name(tenant_id: int) -> int:
     """Return the name of the counter of a tenant's open requests."""
     return CONCURRENCY_BIT | tenant_id << TENANT_SHIFT
 
 
-def tenant_of(name: int) -> int | None:
+def tenant_of_units_counter(name: int) -> int | None:
     """Return the tenant whose units a counter counts; None for a counter of open requests."""
     return None if name & CONCURRENCY_BIT else name >> TENANT_SHIFT
 
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -22,7 +22,7 @@
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter
 from rushroad.policy.concurrency_quota import ConcurrencyQuota
 from rushroad.policy.counter_breaker import CounterBreaker
-from rushroad.policy.counter_calls import CountedResource, CounterCalls, tenant_of
+from rushroad.policy.counter_calls import CountedResource, CounterCalls, tenant_of_units_counter
 from rushroad.policy.durations import SECOND
 from rushroad.policy.endpoint_updates import EndpointUpdates
 from rushroad.policy.endpoints import EndpointTable
@@ -213,7 +213,7 @@
             self._apply(admission, pending)
 
     def _on_late_counter_reply(self, reply: LateCounterReply) -> None:
-        tenant_id = tenant_of(reply.name)
+        tenant_id = tenant_of_units_counter(reply.name)
         tenant = self.tenants.get(tenant_id) if tenant_id is not None else None
         if tenant is not None:
             tenant.usage.apply_late_total(reply.amount, reply.total, self._now)
--- a/tests/policy/test_counter_calls.py
+++ b/tests/policy/test_counter_calls.py
@@ -7,9 +7,9 @@
     CountedResource,
     CounterCall,
     CounterCalls,
-    concurrency_counter,
-    tenant_of,
-    units_counter,
+    concurrency_counter_name,
+    tenant_of_units_counter,
+    units_counter_name,
 )
 from rushroad.policy.outbox import Outbox
 from rushroad.policy.tenants import Tenants
@@ -23,14 +23,14 @@
     calls, tenants = CounterCalls(outbox), Tenants(SETTINGS, START)
     tenant = tenants.create(77, SETTINGS.plans[PLAIN], START)
     for amount in (1.0, 2.0, 3.0):
-        calls.add(units_counter(77), CounterCall(CountedResource.UNITS, tenant, amount, None), SECOND)
-    assert outbox.actions[0] == CounterAdd(units_counter(77), 1.0, SECOND)
-    assert [calls.take_oldest(units_counter(77)).amount for _ in range(3)] == [1.0, 2.0, 3.0]
+        calls.add(units_counter_name(77), CounterCall(CountedResource.UNITS, tenant, amount, None), SECOND)
+    assert outbox.actions[0] == CounterAdd(units_counter_name(77), 1.0, SECOND)
+    assert [calls.take_oldest(units_counter_name(77)).amount for _ in range(3)] == [1.0, 2.0, 3.0]
     assert len(calls) == 0
 
 
 @pytest.mark.parametrize("tenant_id", [0, 1, LARGEST_TENANT])
 def test_name_of_a_counter_tells_its_tenant_and_what_it_counts(tenant_id: int) -> None:
-    assert tenant_of(units_counter(tenant_id)) == tenant_id
-    assert tenant_of(concurrency_counter(tenant_id)) is None
-    assert concurrency_counter(tenant_id) < 1 << 64
+    assert tenant_of_units_counter(units_counter_name(tenant_id)) == tenant_id
+    assert tenant_of_units_counter(concurrency_counter_name(tenant_id)) is None
+    assert concurrency_counter_name(tenant_id) < 1 << 64
