--- a/rushroad/policy/counter_breaker.py
+++ b/rushroad/policy/counter_breaker.py
@@ -1,69 +1,72 @@
-"""When the shared counter is called: a circuit breaker, and the fraction of requests that call it."""
+"""When the shared counter is called: a circuit breaker, and the share of requests that call it.
+
+Times and spans are whole microseconds.
+"""
 
 from __future__ import annotations
 
 from rushroad.policy.events import CounterReply, Result
 from rushroad.policy.settings import CounterSettings
 
-FAILURE_THRESHOLD = 3  # consecutive failed calls that open the breaker: one or two are chance
-TRIAL_INTERVAL = 4  # counter timeouts between trial calls while the breaker is open
-SHARE_DECREASE = 0.7  # factor on the call share after a call that found the counter overloaded
-SHARE_INCREASE = 0.02  # added to the call share by a prompt reply
-PROMPT_REPLY = 0.5  # of the counter's timeout; slower replies do not raise the call share
-MIN_CALL_SHARE = 0.1  # so that recovery of the counter is noticed soon
+FAILURE_THRESHOLD = 3  # consecutive failed calls that open the breaker; one or two may be chance
+TRIAL_INTERVAL_TIMEOUTS = 4  # counter timeouts between trial calls while the breaker is open
+SHARE_DECREASE_FACTOR = 0.7  # on the call share after a call that found the counter overloaded
+SHARE_INCREMENT = 0.02  # added to the call share by a prompt reply
+PROMPT_REPLY_FRACTION = 0.5  # of the counter's timeout; slower replies do not raise the call share
+MIN_CALL_SHARE = 0.1  # kept so that a recovery of the counter is noticed soon
 
 
 class CounterBreaker:
-    """Tells whether the counter is available, and how much of the load it may get.
+    """Tracks whether the counter is available, and limits the load on it.
 
-    A counter that is away opens the breaker. One that is overloaded is called for a share of the requests
-    only: it also works on calls that nobody waits for any more, and would lose the totals of all.
+    An unavailable counter opens the breaker. An overloaded counter is called for a share of the requests
+    only: it also works on calls that have timed out, so at full load every total would come too late.
     """
 
-    def __init__(self, settings: CounterSettings | None, now: int, failed_at: int) -> None:
-        """Start closed; `failed_at` is a time in microseconds before any failure."""
+    def __init__(self, settings: CounterSettings | None, now: int, last_failure_at: int) -> None:
+        """Start closed; `last_failure_at` is a time before the first call."""
         self._timeout = settings.timeout if settings is not None else 0
-        self.failures = 0  # consecutive ones, each of a call made after the one before had failed
-        self._failed_at = failed_at
+        self.consecutive_failures = 0  # each of a call made after the previous one had failed
+        self._last_failure_at = last_failure_at
         self.next_trial_at = now
-        self.call_share = 1.0  # of the requests
+        self.call_share = 1.0  # fraction of the requests that may call the counter
         self._share_decreased_at = now
 
     @property
     def is_open(self) -> bool:
         """True while requests must not wait for the counter."""
-        return self.failures >= FAILURE_THRESHOLD
+        return self.consecutive_failures >= FAILURE_THRESHOLD
 
     @property
     def is_overloaded(self) -> bool:
-        """True while only a share of the requests calls the counter."""
+        """True while only a share of the requests may call the counter."""
         return self.call_share < 1.0
 
     def allow_trial(self, now: int) -> bool:
-        """Whether a trial call is due while the breaker is open; the next one is due an interval later."""
+        """Whether a trial call may be made while the breaker is open; if so, schedules the next one."""
         if now < self.next_trial_at:
             return False
-        self.next_trial_at = now + TRIAL_INTERVAL * self._timeout
+        self.next_trial_at = now + TRIAL_INTERVAL_TIMEOUTS * self._timeout
         return True
 
     def record(self, reply: CounterReply, now: int) -> None:
-        """Learn from how a call ended."""
+        """Update the breaker and the call share with the result of a call."""
         self._update_share(reply, now)
         if reply.result is Result.OK:
-            self.failures = 0
-        elif reply.result is not Result.OVERLOADED and now - reply.elapsed >= self._failed_at:
-            # Calls in one queue or on one broken connection fail together and count once. A counter that
-            # rejects calls is available.
-            self.failures, self._failed_at = self.failures + 1, now
+            self.consecutive_failures = 0
+        elif reply.result is not Result.OVERLOADED and now - reply.elapsed >= self._last_failure_at:
+            # Calls in one queue or on one broken connection fail together and count as one failure. A counter
+            # that rejects calls is available.
+            self.consecutive_failures, self._last_failure_at = self.consecutive_failures + 1, now
 
     def _update_share(self, reply: CounterReply, now: int) -> None:
         if reply.result is Result.OK and self.is_open:
-            self.call_share = 1.0  # it was away, not overloaded
+            self.call_share = 1.0  # the counter was unavailable, not overloaded
         elif reply.result is Result.OK:
-            if reply.elapsed <= PROMPT_REPLY * self._timeout:
-                self.call_share = min(1.0, self.call_share + SHARE_INCREASE)
+            if reply.elapsed <= PROMPT_REPLY_FRACTION * self._timeout:
+                self.call_share = min(1.0, self.call_share + SHARE_INCREMENT)
         elif reply.result not in (Result.TIMEOUT, Result.OVERLOADED):
-            pass  # a broken connection says nothing of the counter's load
+            pass  # a broken connection says nothing about the counter's load
         elif now - reply.elapsed >= self._share_decreased_at:
-            self.call_share = max(MIN_CALL_SHARE, self.call_share * SHARE_DECREASE)
+            self.call_share = max(MIN_CALL_SHARE, self.call_share * SHARE_DECREASE_FACTOR)
             self._share_decreased_at = now
--- a/tests/policy/test_concurrency_quota.py
+++ b/tests/policy/test_concurrency_quota.py
@@ -90,7 +90,7 @@
 
 def test_local_share_of_the_cap_holds_while_the_breaker_is_open() -> None:
     driver = Driver(CONCURRENCY_CAP)
-    driver.gateway.counter_breaker.failures = 9
+    driver.gateway.counter_breaker.consecutive_failures = 9
     driver.gateway.counter_breaker.next_trial_at = driver.now + SECOND
     assert action_names(driver.request(entry_points=2)) == ["StartAttempt"]
     assert action_names(driver.request(entry_points=2)) == ["Reject"]
--- a/tests/policy/test_counter_breaker.py
+++ b/tests/policy/test_counter_breaker.py
@@ -11,7 +11,7 @@
 from tests.support.policy_scenarios import LARGE_FLEET, overload_counter, reply_to_oldest_call
 
 
-def test_open_breaker_lets_few_trial_calls_through_and_closes_after_a_reply() -> None:
+def test_open_breaker_allows_few_trial_calls_and_closes_after_a_reply() -> None:
     driver = Driver()
     for tenant in range(40):
         driver.request(tenant=tenant)
@@ -28,8 +28,8 @@
 
 
 def test_calls_that_fail_together_do_not_open_the_breaker() -> None:
-    # Calls in one late queue or on one broken connection fail at once. While it is taken to be away, a
-    # request costs as much as all gateways that share the tenant, and most would be rejected needlessly.
+    # Calls in one slow queue or on one broken connection fail at once. While the breaker is open, a request
+    # is charged for all gateways that share the tenant, and most would be rejected needlessly.
     driver = Driver()
     driver.request(entry_points=4)
     assert action_names(driver.counter_reply(1.0)) == ["StartAttempt"]
@@ -38,13 +38,13 @@
     for result in (Result.TIMEOUT, Result.TIMEOUT, Result.RESET, Result.RESET, Result.OVERLOADED):
         driver.counter_reply(result=result)
     driver.finish_all()
-    driver.gateway.counter_breaker.call_share = 1.0  # which of the requests call is not the matter here
+    driver.gateway.counter_breaker.call_share = 1.0  # every request calls the counter
     assert action_names(driver.request(units=2.0, entry_points=4)) == ["CounterAdd"]
     assert action_names(driver.counter_reply(result=Result.TIMEOUT)) == ["StartAttempt"]
 
 
 def test_broken_connection_does_not_lower_the_call_share() -> None:
-    # Fewer calls would let requests pass uncounted, and tenants beyond their quotas.
+    # With fewer calls, requests would be admitted uncounted, and tenants could exceed their quotas.
     driver = Driver()
     for tenant in range(8):
         assert action_names(driver.request(tenant=tenant)) == ["CounterAdd"]
@@ -65,17 +65,19 @@
 
 
 def test_call_share_falls_while_the_counter_is_overloaded_and_recovers() -> None:
-    asked = 0
-    for seed in range(10):  # at which share the overload ends is chance
+    calls = 0
+    for seed in range(10):  # the share at which the overload ends depends on the seed
         driver = Driver(LARGE_FLEET, endpoint_count=40, seed=seed)
         overload_counter(driver)
         for tenant in range(2000, 2040):
-            asked += action_names(driver.request(tenant=tenant)).count("CounterAdd")
+            calls += action_names(driver.request(tenant=tenant)).count("CounterAdd")
             while driver.counter_calls:
-                reply_to_oldest_call(driver, 1.0, 45 * MS)  # it answers, but only just: the share stays
+                reply_to_oldest_call(
+                    driver, 1.0, 45 * MS
+                )  # before the timeout, but not prompt: the share stays
             driver.finish_all()
             driver.wait(200 * MS)
-    assert 40 <= asked <= 200  # a tenth of the requests is called for at the least
+    assert 40 <= calls <= 200  # of 400 requests; at least a tenth of them calls the counter
     for tenant in range(3000, 3100):
         driver.request(tenant=tenant)
         while driver.counter_calls:
--- a/tests/policy/test_counter_calls.py
+++ b/tests/policy/test_counter_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the counter without a reply."""
+"""Counter calls that have no reply yet, and the names of totals."""
 
 import pytest
 
@@ -15,10 +15,10 @@
 from rushroad.policy.tenants import Tenants
 from tests.support.gateway_driver import PLAIN, SECOND, SETTINGS, START
 
-LARGEST_TENANT = (1 << 33) - 1
+MAX_TENANT_ID = (1 << 33) - 1
 
 
-def test_replies_for_one_name_belong_to_its_calls_in_their_order() -> None:
+def test_replies_for_one_name_match_its_calls_in_order() -> None:
     outbox = Outbox()
     calls, tenants = CounterCalls(outbox), Tenants(SETTINGS, START)
     tenant = tenants.create(77, SETTINGS.plans[PLAIN], START)
@@ -29,8 +29,8 @@
     assert len(calls) == 0
 
 
-@pytest.mark.parametrize("tenant_id", [0, 1, LARGEST_TENANT])
-def test_name_of_a_counter_tells_its_tenant_and_what_it_counts(tenant_id: int) -> None:
+@pytest.mark.parametrize("tenant_id", [0, 1, MAX_TENANT_ID])
+def test_name_of_a_total_identifies_its_tenant_and_resource(tenant_id: int) -> None:
     assert tenant_of_units_counter(units_counter_name(tenant_id)) == tenant_id
     assert tenant_of_units_counter(concurrency_counter_name(tenant_id)) is None
     assert concurrency_counter_name(tenant_id) < 1 << 64
