--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -1,7 +1,8 @@
-"""Admission by the cap that a plan sets on a tenant's open requests, over all gateways together.
+"""Admission by a plan's limit on a tenant's open requests, over all gateways together.
 
-Where a plan has no rate beside the cap, each open request holds a slot: one on the tenant's counter of open
-requests, taken back when the request has ended. A plan with both keeps the cap by fixed shares.
+Where a plan limits only these, each open request holds a slot: it adds one to the tenant's total of open
+requests on the counter, and subtracts it when it has ended. Where a plan also has a rate, each gateway keeps
+to a fixed share of the limit. Times and spans are whole microseconds.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 from rushroad.policy.tenants import Tenant
 from rushroad.policy.timers import CounterWaitOver, Timers
 
-SLOT_LIFETIME = 8 * SECOND  # microseconds; a slot whose return was lost is free again after that
-FULL_BACKOFF = 0.5  # of the mean time until a slot is free; so long requests are rejected without a call
-HALF_SLOT = 0.5  # totals are counted in floating point
+SLOT_LIFETIME = 8 * SECOND  # a slot whose return was lost is free again after this time
+FULL_BACKOFF_FRACTION = 0.5  # of the mean time to a free slot; requests are rejected that long without a call
+SLOT_ROUNDING_MARGIN = 0.5  # slots; totals are floating-point numbers
 
 
 def within_local_share(pending: PendingRequest, has_counter: bool) -> bool:
-    """Whether this gateway's part of the cap has a slot left, for plans that are not counted by slots."""
+    """Whether this gateway's share of the limit has a free slot, for plans without slots on the counter."""
     if not pending.plan.concurrency or (pending.plan.rate <= 0 and has_counter):
         return True
     return _has_local_slot(pending)
@@ -39,7 +40,7 @@
 
 
 class ConcurrencyQuota:
-    """Holds a slot for each open request of a plan that caps only these."""
+    """Holds a slot for each open request of a plan that limits only these."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
         self._timers = timers
         self._latency = latency
         self._random = random
-        self._slot_holders: dict[int, Tenant] = {}  # by request
+        self._slots: dict[int, Tenant] = {}  # request ID to the tenant of the slot that it holds
 
     def decide(self, pending: PendingRequest, now: int) -> Admission:
         """Decide on a request of a plan without a rate, or call the counter for a slot."""
@@ -76,20 +77,20 @@
         return Admission.WAIT_FOR_COUNTER
 
     def decide_by_local_share(self, pending: PendingRequest) -> Admission:
-        """Decide without a total, by this gateway's part of the cap."""
+        """Decide without a total, by this gateway's share of the limit."""
         return Admission.ADMIT if _has_local_slot(pending) else Admission.REJECT_OVER_CONCURRENCY
 
     def on_reply(
         self, call: CounterCall, reply: CounterReply, pending: PendingRequest | None, now: int
     ) -> Admission | None:
-        """Take in the reply to a call; returns the decision on the request that still waits for it."""
+        """Handle the reply to a call; returns the decision on the request if it still waits for it."""
         if call.amount < 0 and reply.result is Result.OK and reply.total < -ROUNDING_MARGIN:
-            # The counter had been forgotten before the slot was returned: what it now lacks is put back.
+            # The total had expired before the slot was returned: the missing amount is added back.
             self._call(call.tenant, min(-call.amount, -reply.total), None)
         if call.amount <= 0 or call.waiting_request is None:
             return None
         if not reply.result.proven_not_executed:
-            self._slot_holders[call.waiting_request] = call.tenant
+            self._slots[call.waiting_request] = call.tenant
         if pending is None:
             self.release(call.waiting_request)  # the client has disconnected
             return None
@@ -99,16 +100,16 @@
         plan = pending.plan
         if reply.result is not Result.OK:
             return self.decide_by_local_share(pending)
-        if reply.total <= plan.concurrency + HALF_SLOT:
+        if reply.total <= plan.concurrency + SLOT_ROUNDING_MARGIN:
             return Admission.ADMIT
         objective = pending.request_class.latency_objective
         typical = self._latency.typical(pending.request.class_index) or COUNTER_WAIT * objective
-        pending.tenant.concurrency.full_until = now + int(FULL_BACKOFF * typical / plan.concurrency)
+        pending.tenant.concurrency.full_until = now + int(FULL_BACKOFF_FRACTION * typical / plan.concurrency)
         return Admission.REJECT_OVER_CONCURRENCY
 
     def release(self, request_id: int) -> None:
         """Return the slot of a request that has ended, if it holds one."""
-        tenant = self._slot_holders.pop(request_id, None)
+        tenant = self._slots.pop(request_id, None)
         if tenant is not None and not self._breaker.is_open:
             self._call(tenant, -1.0, None)
 
--- a/rushroad/policy/tenants.py
+++ b/rushroad/policy/tenants.py
@@ -1,4 +1,7 @@
-"""The tenants that this gateway knows, with what each part of the policy keeps of them."""
+"""The tenants that this gateway knows, with the state that the policy keeps for each.
+
+Times and spans are whole microseconds.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +16,14 @@
 from rushroad.policy.settings import Plan, Settings
 from rushroad.policy.tenant_usage import TenantUsage, window_length
 
-IDLE_TIME = 30 * SECOND  # microseconds after which a tenant without open requests is forgotten
-MIN_TENANTS = 64  # so many are kept however long they have been idle
-EVICTIONS_PER_REQUEST = 2  # tenants checked, the longest idle first
-WINDOW_OFFSET = 7919  # microseconds by which the windows of consecutive tenants are apart
+IDLE_TIMEOUT = 30 * SECOND  # after which a tenant without open requests may be evicted
+MIN_TENANTS = 64  # table size up to which no tenant is evicted, however long idle
+EVICTION_CHECKS_PER_REQUEST = 2  # tenants checked, the longest idle first
+WINDOW_STAGGER_US = 7919  # between the window boundaries of tenants with consecutive IDs
 
 
 class Tenant:
-    """One tenant."""
+    """One tenant's state at this gateway."""
 
     __slots__ = ("ceiling", "concurrency", "id", "usage")
 
@@ -43,30 +46,30 @@
         return len(self._tenants)
 
     def get(self, tenant_id: int) -> Tenant | None:
-        """Return a tenant that is known."""
+        """Return the tenant with this ID, if it is known."""
         return self._tenants.get(tenant_id)
 
     def refresh(self, request: Request, plan: Plan, now: int) -> Tenant:
-        """Return the request's tenant with its state brought up to now; tenants long idle are forgotten."""
+        """Return the request's tenant with its state brought up to now; evicts tenants idle for long."""
         tenant = self._tenants.get(request.tenant)
         if tenant is None:
             tenant = self._tenants[request.tenant] = self.create(request.tenant, plan, now)
         self._tenants.move_to_end(request.tenant)
-        self._evict(tenant, now)
+        self._evict_idle(tenant, now)
         tenant.usage.advance(plan, now)
         tenant.ceiling.refill(plan, max(1, request.entry_points), now)
         return tenant
 
     def create(self, tenant_id: int, plan: Plan, now: int) -> Tenant:
-        """Return the state of a tenant that is not known, without an entry in the table."""
-        window = CounterWindow(window_length(plan), self._call_timeout, tenant_id * WINDOW_OFFSET, now)
+        """Return the initial state of a tenant, without adding it to the table."""
+        window = CounterWindow(window_length(plan), self._call_timeout, tenant_id * WINDOW_STAGGER_US, now)
         return Tenant(tenant_id, TenantUsage(plan, window, now), RateCeiling(self._started_at), now)
 
-    def _evict(self, current: Tenant, now: int) -> None:
+    def _evict_idle(self, current: Tenant, now: int) -> None:
         if len(self._tenants) <= MIN_TENANTS:
             return
-        for tenant_id in list(islice(self._tenants, EVICTIONS_PER_REQUEST)):
+        for tenant_id in list(islice(self._tenants, EVICTION_CHECKS_PER_REQUEST)):
             tenant = self._tenants[tenant_id]
-            idle = now - tenant.usage.updated_at > IDLE_TIME
-            if tenant is not current and not tenant.concurrency.open_requests and idle:
+            is_idle = now - tenant.usage.updated_at > IDLE_TIMEOUT
+            if tenant is not current and not tenant.concurrency.open_requests and is_idle:
                 del self._tenants[tenant_id]
--- a/tests/policy/test_concurrency_quota.py
+++ b/tests/policy/test_concurrency_quota.py
@@ -1,4 +1,4 @@
-"""The cap on a tenant's open requests."""
+"""The limit on a tenant's open requests."""
 
 from dataclasses import replace
 
@@ -19,7 +19,7 @@
     action_names,
 )
 
-CONCURRENCY_CAP = replace(SETTINGS, plans=(Plan(concurrency=2),))  # open requests only, over all gateways
+CONCURRENCY_LIMITED = replace(SETTINGS, plans=(Plan(concurrency=2),))  # without a rate
 
 
 def counter_amounts(driver: Driver) -> list[tuple[int, float]]:
@@ -27,8 +27,8 @@
 
 
 def test_open_request_holds_a_slot_on_the_counter_and_returns_it() -> None:
-    # Shares of a cap, rounded up at each gateway, let pass as many as there are gateways.
-    driver = Driver(CONCURRENCY_CAP)
+    # Fixed shares of the limit, rounded up at each gateway, admit at least one request per gateway.
+    driver = Driver(CONCURRENCY_LIMITED)
     assert action_names(driver.request(entry_points=8)) == ["CounterAdd"]
     assert action_names(driver.counter_reply(1.0)) == ["StartAttempt"]
     assert action_names(driver.request(entry_points=8)) == ["CounterAdd"]
@@ -41,17 +41,17 @@
 
 
 def test_request_without_a_free_slot_is_rejected_and_holds_none() -> None:
-    driver = Driver(CONCURRENCY_CAP)
+    driver = Driver(CONCURRENCY_LIMITED)
     driver.request()
     assert action_names(driver.counter_reply(3.0)) == ["CounterAdd", "Reject"]
     assert [amount for _, amount in counter_amounts(driver)] == [1.0, -1.0]
-    assert action_names(driver.request()) == ["Reject"]  # known to be full, for a moment
+    assert action_names(driver.request()) == ["Reject"]  # without a call: by the last total no slot is free
     driver.wait(SECOND)
     assert action_names(driver.request()) == ["CounterAdd"]
 
 
 def test_slot_of_a_disconnected_client_is_returned_when_its_attempt_ends() -> None:
-    driver = Driver(CONCURRENCY_CAP)
+    driver = Driver(CONCURRENCY_LIMITED)
     driver.request()
     driver.disconnect(1)
     assert action_names(driver.counter_reply(1.0)) == [
@@ -67,7 +67,7 @@
 
 def test_every_end_of_a_request_returns_its_slot_once() -> None:
     for result in (Result.OK, Result.ERROR, Result.OVERLOADED, Result.RESET, Result.TIMEOUT):
-        driver = Driver(CONCURRENCY_CAP)
+        driver = Driver(CONCURRENCY_LIMITED)
         driver.request(class_index=NOT_IDEMPOTENT)
         driver.counter_reply(1.0)
         while driver.requests[1].in_flight:
@@ -76,20 +76,20 @@
         assert [amount for _, amount in counter_amounts(driver)] == [1.0, -1.0], result
 
 
-@pytest.mark.parametrize(("result", "given_back"), [(Result.TIMEOUT, 2), (Result.OVERLOADED, 0)])
-def test_local_share_of_the_cap_holds_without_a_reply(result: Result, given_back: int) -> None:
-    # A call that timed out may have been added; one turned away never was.
-    driver = Driver(CONCURRENCY_CAP)
+@pytest.mark.parametrize(("result", "returned_slots"), [(Result.TIMEOUT, 2), (Result.OVERLOADED, 0)])
+def test_local_share_of_the_limit_applies_without_a_total(result: Result, returned_slots: int) -> None:
+    # The amount of a call that timed out may have been added; that of a rejected one never was.
+    driver = Driver(CONCURRENCY_LIMITED)
     driver.request(entry_points=2)
     driver.request(entry_points=2)
     assert action_names(driver.counter_reply(result=result)) == ["StartAttempt"]
     assert action_names(driver.counter_reply(result=result))[-1] == "Reject"
     driver.finish_all()
-    assert len([amount for _, amount in counter_amounts(driver) if amount < 0]) == given_back
+    assert len([amount for _, amount in counter_amounts(driver) if amount < 0]) == returned_slots
 
 
-def test_local_share_of_the_cap_holds_while_the_breaker_is_open() -> None:
-    driver = Driver(CONCURRENCY_CAP)
+def test_local_share_of_the_limit_applies_while_the_breaker_is_open() -> None:
+    driver = Driver(CONCURRENCY_LIMITED)
     driver.gateway.counter_breaker.consecutive_failures = 9
     driver.gateway.counter_breaker.next_trial_at = driver.now + SECOND
     assert action_names(driver.request(entry_points=2)) == ["StartAttempt"]
@@ -98,7 +98,7 @@
     assert action_names(driver.request(entry_points=2)) == [
         "CounterAdd",
         "Reject",
-    ]  # a trial, which adds nothing
+    ]  # a trial call, which adds nothing
     assert driver.counter_calls[-1].amount == 0.0
     driver.counter_reply(5.0)
     assert action_names(driver.request(entry_points=2)) == ["CounterAdd"]
--- a/tests/policy/test_rate_ceiling.py
+++ b/tests/policy/test_rate_ceiling.py
@@ -1,4 +1,4 @@
-"""The hard limit on a tenant's rate."""
+"""The rate ceiling, the hard limit on a tenant's rate."""
 
 from tests.support.gateway_driver import (
     CEILING,
@@ -11,13 +11,13 @@
 from tests.support.policy_scenarios import LARGE_FLEET
 
 
-def test_ceiling_holds_where_the_total_would_admit() -> None:
+def test_ceiling_applies_where_the_total_would_admit() -> None:
     driver = Driver()
     driver.wait(10 * SECOND)
-    for _ in range(40):  # 20 units is this gateway's third of the ceiling
+    for _ in range(40):  # this gateway's third of the ceiling is 20 units
         driver.request(plan=CEILING, entry_points=3)
         if driver.counter_calls:
-            driver.counter_reply(1.0)  # the driver raises RuleViolationError where too much passes
+            driver.counter_reply(1.0)  # the driver raises RuleViolationError above the ceiling
         driver.finish_all()
     assert action_names(driver.actions).count("StartAttempt") <= 20
 
--- a/tests/policy/test_tenants.py
+++ b/tests/policy/test_tenants.py
@@ -1,4 +1,4 @@
-"""The table of tenants."""
+"""Eviction from the table of tenants."""
 
 from tests.support.gateway_driver import (
     MS,
@@ -6,7 +6,7 @@
 )
 
 
-def test_tenants_with_a_single_request_leave_no_state() -> None:
+def test_tenants_with_a_single_request_are_evicted_when_idle() -> None:
     driver = Driver()
     for tenant in range(3_000):
         driver.request(tenant=tenant, time_remaining=0)
