--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -1,7 +1,8 @@
 """Admission by a tenant's quota of units, which holds over all gateways together.
 
-Each request adds its units to the tenant's counter and is admitted by the total, so that gateways need not
-know of each other. Where the counter is away or overloaded, a gateway decides by its own estimate.
+Each request adds its units to the tenant's total on the shared counter and is admitted by the result, so
+that gateways need not know each other. Where the counter is unavailable or overloaded, a gateway decides by
+its own estimate. Times and spans are whole microseconds.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 from rushroad.policy.tenant_usage import SMOOTHING, window_length
 from rushroad.policy.timers import CounterWaitOver, Timers
 
-FULL_SHARE_USE = 0.5  # of the burst used; from there on all requests call that the counter's load allows
-NEAR_LIMIT_WINDOWS = 2.0  # refills of the burst for which a tenant counts as near its limit
-NEAR_LIMIT_RESERVE = 0.5  # of the largest request; what every class leaves free near the limit
-OVER_QUOTA_CALLS = 2.0  # calls for requests over the quota, for each that is likely to be admitted
-REJECTION_SMOOTHING = 0.03  # weight of one decision in a plan's mean of rejections
+FULL_SHARE_UTILIZATION = 0.5  # of the burst, from which a tenant's requests get the full call share
+NEAR_LIMIT_REFILLS = 2.0  # refills of the burst for which a tenant counts as near its limit
+MIN_RESERVE_FRACTION = 0.5  # of the largest request; every class leaves this free near the limit
+CALLS_PER_ADMISSION = 2.0  # counter calls for requests over the quota, per expected admission
+REJECTION_SMOOTHING = 0.03  # weight of a decision in the moving average of a plan's rejection rate
 
 
 class Quota:
@@ -38,22 +39,23 @@
         self._calls = calls
         self._timers = timers
         self._random = random
-        self._rejection_rates = [0.0 for _ in settings.plans]  # of the decisions by totals
-        self._top_weight = max(c.priority_weight for c in settings.request_classes)
-        # In a large fleet a tenant may not come here again: requests that call stand for those that don't.
+        self._rejection_rates = [0.0 for _ in settings.plans]  # of decisions made by totals, by plan
+        self._max_weight = max(c.priority_weight for c in settings.request_classes)
+        # In a large fleet a tenant may not return here: each call also adds units of requests without one.
         self.samples_requests = False
 
     def estimate_rejection(self, pending: PendingRequest) -> None:
-        """Note on a request how likely it is to be rejected, and whether that makes it over the quota."""
+        """Set how likely a request is to be rejected, and whether it counts as over the quota by that."""
         plan, usage = pending.plan, pending.tenant.usage
         rejections = usage.rejections + self._rejection_rates[pending.request.plan_index]
         pending.rejection_probability = rejections / (usage.decisions + 1.0)
-        # Admitted without a total it earns its weight, or costs what going beyond the quota costs.
-        cost = 1.0 + plan.overage_cost - plan.overage_weight
-        pending.is_over_quota = pending.rejection_probability * cost >= 1.0
+        # If admitted without a total, it earns its weight within the quota, and beyond it the overage weight
+        # less the overage cost. It is over the quota where the expected value is not positive.
+        overage_loss = 1.0 + plan.overage_cost - plan.overage_weight
+        pending.is_over_quota = pending.rejection_probability * overage_loss >= 1.0
 
     def is_within_hard_limits(self, pending: PendingRequest) -> bool:
-        """Whether this gateway's own share of the hard limits allows a request, whatever the counter says."""
+        """Whether this gateway's share of the hard limits allows a request, whatever the total."""
         if not within_local_share(pending, self._counter is not None):
             return False
         return pending.tenant.ceiling.allows(pending.plan, pending.request.units)
@@ -63,17 +65,17 @@
         if self._counter is None:
             return self.decide_by_estimate(pending, now)
         if self._is_known_over_quota(pending, now):
-            # Its units would only be taken back, and retries would overload the counter.
+            # Its units would only be subtracted again, and calls for retries would overload the counter.
             return Admission.REJECT_OVER_QUOTA
         if self._breaker.is_open:
             if self._breaker.allow_trial(now):
                 pending.counted_units = pending.request.units
                 self._call(pending, None, pending.counted_units, now)
             return self.decide_by_estimate(pending, now)
-        return self._call_for_share(pending, now)
+        return self._call_or_estimate(pending, now)
 
-    def _call_for_share(self, pending: PendingRequest, now: int) -> Admission:
-        """Call the counter for a share of the requests, as its load allows; the others are estimated."""
+    def _call_or_estimate(self, pending: PendingRequest, now: int) -> Admission:
+        """Call the counter for the share of requests that its load allows; decide the others by estimate."""
         share = self._call_share(pending)
         if self._random.random() < share:
             sampled = self.samples_requests and not pending.is_over_quota
@@ -91,32 +93,33 @@
         if share >= 1.0:
             return share
         if pending.is_over_quota:
-            return share * min(1.0, OVER_QUOTA_CALLS * (1.0 - pending.rejection_probability))
+            return share * min(1.0, CALLS_PER_ADMISSION * (1.0 - pending.rejection_probability))
         if self.samples_requests:
             return share
-        # The nearer a tenant is to its burst, the more a total tells.
-        used = (pending.tenant.usage.used + pending.request.units) / pending.plan.burst
-        return share * (used / FULL_SHARE_USE) ** 2
+        # The more of its burst a tenant has used, the more its total matters.
+        utilization = (pending.tenant.usage.used + pending.request.units) / pending.plan.burst
+        return share * (utilization / FULL_SHARE_UTILIZATION) ** 2
 
     def _is_known_over_quota(self, pending: PendingRequest, now: int) -> bool:
-        """Whether that is known before any call. What may just fit is for a total to say, if there is one."""
+        """Whether a request is over the quota for certain, without a call; one that may fit needs a total."""
         usage = pending.tenant.usage
         if not self._breaker.is_overloaded:
             return usage.used + pending.request.units > pending.plan.burst
         return not self._fits(pending, pending.request.units, now, usage.estimated_others)
 
-    def _fits(self, pending: PendingRequest, units: float, now: int, certain: float = 0.0) -> bool:
-        """Whether the units fit, with a reserve where the tenant was near its limit of late.
+    def _fits(self, pending: PendingRequest, units: float, now: int, disregarded: float = 0.0) -> bool:
+        """Whether the units fit, with a reserve where the tenant was near its limit recently.
 
-        The reserve is for units that no total holds yet, and for classes of a higher weight. Without it a
-        quota at its limit would go to small requests only, as larger ones never find so much at once.
+        The reserve is for units that no total includes yet, and for classes of a higher priority weight.
+        Without it a quota at its limit would go to small requests only, as larger ones would never find
+        enough units free at once. `disregarded` units of the use count as free.
         """
         usage, plan = pending.tenant.usage, pending.plan
         reserve = 0.0
-        if now - usage.near_limit_at < NEAR_LIMIT_WINDOWS * plan.burst / plan.rate * SECOND:
-            weight = pending.request_class.priority_weight / self._top_weight
-            reserve = (NEAR_LIMIT_RESERVE + 1.0 - weight) * self._settings.max_units
-        fits = usage.fits(units, pending.request.entry_points, reserve, certain)
+        if now - usage.near_limit_at < NEAR_LIMIT_REFILLS * plan.burst / plan.rate * SECOND:
+            weight = pending.request_class.priority_weight / self._max_weight
+            reserve = (MIN_RESERVE_FRACTION + 1.0 - weight) * self._settings.max_units
+        fits = usage.fits(units, pending.request.entry_points, reserve, disregarded)
         if not fits:
             usage.near_limit_at = now
         return fits
@@ -124,31 +127,32 @@
     def decide_by_estimate(self, pending: PendingRequest, now: int) -> Admission:
         """Decide without a total; the next one replaces the estimate of the others' use.
 
-        Others are taken to admit as much as this gateway while the counter is away, else as much as totals
-        told, unless a call for this request is under way. This keeps many gateways from admitting a burst
-        each, and rejects too much where a tenant comes here more often than it used to.
+        While the counter is unavailable, each other gateway is assumed to admit as much as this one; else the
+        others as much as totals have shown, unless the counter was called for this request. This keeps many
+        gateways from admitting a burst each, but rejects too much where a tenant uses this gateway more often
+        than before.
         """
         usage, units, others = pending.tenant.usage, pending.request.units, 0.0
         if self._breaker.is_open or self._counter is None:
             others = units * (max(1, pending.request.entry_points) - 1)
         elif not self.samples_requests and not pending.counted_units:
-            others = units * usage.others_per_own(pending.request.entry_points)
-        # With those of many others one request may exceed the burst: it fits when nothing is used.
+            others = units * usage.others_to_own_ratio(pending.request.entry_points)
+        # With the estimate for many others one request may exceed the burst: it fits when nothing is used.
         if not self._fits(pending, units + others, now) or not self.is_within_hard_limits(pending):
             return Admission.REJECT_OVER_ESTIMATE
-        usage.enter_window(now)
+        usage.restart_window_if_expired(now)
         usage.used += units + others
         usage.estimated_others += others
-        reports = self._counter is not None and not self.samples_requests and not self._breaker.is_open
-        if reports and not pending.counted_units:
+        reports_later = self._counter is not None and not self.samples_requests and not self._breaker.is_open
+        if reports_later and not pending.counted_units:
             usage.unreported += units
             pending.counted_units = units
         return Admission.ADMIT
 
     def _call(self, pending: PendingRequest, waiting_request: int | None, units: float, now: int) -> None:
-        """Add units, and what is unreported, to the tenant's counter of this window."""
+        """Add units, and those not reported yet, to the tenant's total of this window."""
         tenant = pending.tenant
-        tenant.usage.enter_window(now)
+        tenant.usage.restart_window_if_expired(now)
         amount = units + tenant.usage.take_unreported()
         call = CounterCall(CountedResource.UNITS, tenant, amount, waiting_request)
         self._calls.add(units_counter_name(tenant.id), call, tenant.usage.window.lifetime(now))
@@ -156,20 +160,20 @@
     def on_reply(
         self, call: CounterCall, reply: CounterReply, pending: PendingRequest | None, now: int
     ) -> Admission | None:
-        """Take in the reply to a call; returns the decision on the request that still waits for it."""
-        waits = pending is not None and pending.awaiting_counter
+        """Handle the reply to a call; returns the decision on the request if it still waits for it."""
+        is_waiting = pending is not None and pending.awaiting_counter
         usage = call.tenant.usage
         if reply.result is not Result.OK:
-            usage.call_failed(call.amount, reply.result.proven_not_executed)
-            return self.decide_by_estimate(pending, now) if pending is not None and waits else None
+            usage.record_failed_call(call.amount, reply.result.proven_not_executed)
+            return self.decide_by_estimate(pending, now) if pending is not None and is_waiting else None
         usage.refill(now)
         usage.apply_total(call.amount, reply.total, now)
-        return self._decide_by_total(call, pending, now) if pending is not None and waits else None
+        return self._decide_by_total(call, pending, now) if pending is not None and is_waiting else None
 
     def _decide_by_total(self, call: CounterCall, pending: PendingRequest, now: int) -> Admission:
         usage, plan_index = call.tenant.usage, pending.request.plan_index
-        reported = max(0.0, call.amount - pending.counted_units)
-        usage.mean_unreported += SMOOTHING * (reported - usage.mean_unreported)
+        previously_unreported = max(0.0, call.amount - pending.counted_units)
+        usage.mean_unreported += SMOOTHING * (previously_unreported - usage.mean_unreported)
         rejected = not self._fits(pending, pending.request.units, now)
         usage.decisions += 1.0
         usage.rejections += rejected
@@ -181,9 +185,9 @@
         return Admission.ADMIT
 
     def return_counted_units(self, pending: PendingRequest, now: int) -> None:
-        """Take the units of a request that was never forwarded off the counter.
+        """Subtract the units of a request that was never forwarded from the tenant's total.
 
-        While the counter is away or overloaded that goes with the next call for the tenant.
+        While the counter is unavailable or overloaded, the next call for the tenant does this.
         """
         if not pending.counted_units:
             return
@@ -194,12 +198,12 @@
             pending.tenant.usage.unreported += units
 
     def undo_admission(self, pending: PendingRequest) -> None:
-        """Give the units of an admitted request back that is not forwarded after all."""
+        """Undo the local count of an admitted request that is not forwarded after all."""
         usage = pending.tenant.usage
         usage.used = max(0.0, usage.used - pending.request.units)
 
     def settle(self, pending: PendingRequest, actual_units: float) -> None:
-        """Correct the units of a request to the actual ones; the counter learns of it with the next call."""
+        """Correct the units of a request to the actual ones; the next call corrects the total."""
         usage = pending.tenant.usage
         units = actual_units - pending.request.units
         usage.used = max(0.0, usage.used + units)
@@ -207,7 +211,7 @@
             usage.unreported += units * pending.counted_units / pending.request.units
 
     def retry_after(self, pending: PendingRequest) -> int:
-        """Return the microseconds until the request may fit: at least one unit's refill, at most a window."""
+        """Return the time until the request may fit: at least one unit's refill, at most a window."""
         plan, limit = pending.plan, self._settings.limits.max_retry_after
         if plan.rate <= 0:
             return min(limit, pending.request_class.latency_objective)
