--- a/tests/policy/test_concurrency_quota.py
+++ b/tests/policy/test_concurrency_quota.py
@@ -32,9 +32,8 @@
     assert action_names(driver.request(entry_points=8)) == ["CounterAdd"]
     assert action_names(driver.counter_reply(1.0)) == ["StartAttempt"]
     assert action_names(driver.request(entry_points=8)) == ["CounterAdd"]
-    assert action_names(driver.counter_reply(2.0)) == [
-        "StartAttempt"
-    ]  # a fixed share of one would have rejected it
+    # Fixed shares of one slot would have rejected it.
+    assert action_names(driver.counter_reply(2.0)) == ["StartAttempt"]
     driver.outcome(1)
     assert [amount for _, amount in counter_amounts(driver)] == [1.0, 1.0, -1.0]
     assert len({name for name, _ in counter_amounts(driver)}) == 1
@@ -54,9 +53,8 @@
     driver = Driver(CONCURRENCY_LIMITED)
     driver.request()
     driver.disconnect(1)
-    assert action_names(driver.counter_reply(1.0)) == [
-        "CounterAdd"
-    ]  # the slot is returned, and nothing is forwarded
+    # The slot is returned, and nothing is forwarded.
+    assert action_names(driver.counter_reply(1.0)) == ["CounterAdd"]
     driver.counter_reply(0.0)
     driver.request()
     driver.counter_reply(1.0)
@@ -95,10 +93,8 @@
     assert action_names(driver.request(entry_points=2)) == ["StartAttempt"]
     assert action_names(driver.request(entry_points=2)) == ["Reject"]
     driver.now += 2 * SECOND
-    assert action_names(driver.request(entry_points=2)) == [
-        "CounterAdd",
-        "Reject",
-    ]  # a trial call, which adds nothing
+    # A trial call, which adds nothing.
+    assert action_names(driver.request(entry_points=2)) == ["CounterAdd", "Reject"]
     assert driver.counter_calls[-1].amount == 0.0
     driver.counter_reply(5.0)
     assert action_names(driver.request(entry_points=2)) == ["CounterAdd"]
