--- a/rushroad/policy/tenant_usage.py
+++ b/rushroad/policy/tenant_usage.py
@@ -68,14 +68,14 @@
     def advance(self, plan: Plan, now: int) -> None:
         """Bring the state up to now, at the arrival of a request."""
         if plan.rate > 0:
-            passed = (now - self.updated_at) / SECOND
+            elapsed_s = (now - self.updated_at) / SECOND
             self.refill(now)
-            decay = math.exp(-passed * plan.rate / plan.burst / DECISION_DECAY_REFILLS)
+            decay = math.exp(-elapsed_s * plan.rate / plan.burst / DECISION_DECAY_REFILLS)
             self.decisions, self.rejections = self.decisions * decay, self.rejections * decay
         self.updated_at = now
 
     def refill(self, now: int) -> None:
-        """Give back the units that the rate has refilled up to now."""
+        """Refill the burst at the rate up to now."""
         refilled = self._rate * (now - self.updated_at) / SECOND
         self._unused_refill += max(0.0, refilled - self.used)
         self.used, self.updated_at = max(0.0, self.used - refilled), now
--- a/tests/policy/test_counter_breaker.py
+++ b/tests/policy/test_counter_breaker.py
@@ -72,9 +72,7 @@
         for tenant in range(2000, 2040):
             calls += action_names(driver.request(tenant=tenant)).count("CounterAdd")
             while driver.counter_calls:
-                reply_to_oldest_call(
-                    driver, 1.0, 45 * MS
-                )  # before the timeout, but not prompt: the share stays
+                reply_to_oldest_call(driver, 1.0, 45 * MS)  # in time, but not prompt: the share stays
             driver.finish_all()
             driver.wait(200 * MS)
     assert 40 <= calls <= 200  # of 400 requests; at least a tenth of them calls the counter
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -97,9 +97,8 @@
 def test_only_the_local_share_is_admitted_while_the_counter_is_unavailable() -> None:
     driver = Driver()
     admitted = 0
-    for _ in range(
-        80
-    ):  # 8 requests a second for 10 s; the quota is 8 + 2 a second, the local share half of it
+    # 8 requests a second for 10 s; the quota is 8 + 2 a second, the local share half of it.
+    for _ in range(80):
         driver.request(entry_points=2)
         while driver.counter_calls:
             driver.counter_reply(result=Result.CONNECT_FAILED)
@@ -316,7 +315,7 @@
         driver.gateway.counter_breaker.call_share = 1.0
         driver.request(entry_points=2, class_index=NOT_IDEMPOTENT)
         while driver.counter_calls:
-            totals.add(structs.replace(driver.counter_calls[0], amount=2.0), driver.now)  # others
+            totals.add(structs.replace(driver.counter_calls[0], amount=2.0), driver.now)  # by others
             driver.counter_reply(totals.add(driver.counter_calls[0], driver.now))
         driver.finish_all()
         driver.wait(4 * SECOND)
