--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -25,7 +25,7 @@
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter
 from rushroad.policy.concurrency_quota import ConcurrencyQuota
 from rushroad.policy.counter_breaker import CounterBreaker
-from rushroad.policy.counter_calls import CountedResource, CounterCalls, tenant_of
+from rushroad.policy.counter_calls import CountedResource, CounterCalls, tenant_of_units_counter
 from rushroad.policy.durations import SECOND
 from rushroad.policy.endpoint_updates import EndpointUpdates
 from rushroad.policy.endpoints import EndpointTable
@@ -182,7 +182,7 @@
             request, request_class, self._is_overloaded()
         )
         self.retry_policy.request_arrived()
-        self.quota.assess(pending)
+        self.quota.estimate_rejection(pending)
         return pending
 
     def _is_overloaded(self) -> bool:
@@ -193,7 +193,7 @@
     def _can_be_served(self, pending: PendingRequest) -> bool:
         """Whether time, hard limits and capacity allow a request, regardless of its quota."""
         usable_time = min(pending.counter_wait, pending.objective_at - self._now)
-        if usable_time <= self._settings.tick or not self.quota.permits(pending):
+        if usable_time <= self._settings.tick or not self.quota.is_within_hard_limits(pending):
             return False
         deficit = self.load_shedding.priority_deficit(pending)
         return self.load_shedding.has_capacity(self.endpoints.ready, self._now, deficit)
@@ -218,7 +218,7 @@
             self._apply_admission(admission, pending)
 
     def _on_late_counter_reply(self, reply: LateCounterReply) -> None:
-        tenant_id = tenant_of(reply.name)
+        tenant_id = tenant_of_units_counter(reply.name)
         tenant = self.tenants.get(tenant_id) if tenant_id is not None else None
         if tenant is not None:
             tenant.usage.apply_late_total(reply.amount, reply.total, self._now)
@@ -263,7 +263,7 @@
         if number == 0:
             pending.tenant.ceiling.take(request.units)
         if not pending.in_flight:
-            pending.tenant.concurrency.opened()
+            pending.tenant.concurrency.request_opened()
         self._outbox.add(StartAttempt(request.id, endpoint.entry.name, timeout))
         self.load_shedding.attempt_started(now)
         endpoint.concurrency.in_flight[(request.id, number)] = now
@@ -287,7 +287,7 @@
             return
         attempt = pending.in_flight.pop(outcome.attempt, None)
         if outcome.final or not pending.in_flight:  # otherwise a hedged attempt is in flight
-            pending.tenant.concurrency.closed()
+            pending.tenant.concurrency.request_closed()
         if outcome.final:
             self._complete(pending, outcome)
             return
@@ -313,9 +313,9 @@
         if pending is None:
             return
         if pending.attempt_count == 0:
-            self.quota.return_units(pending, self._now)
+            self.quota.return_counted_units(pending, self._now)
         elif pending.in_flight:
-            pending.tenant.concurrency.closed()
+            pending.tenant.concurrency.request_closed()
         if not pending.in_flight:
             self.concurrency_quota.release(event.request_id)
 
@@ -372,8 +372,8 @@
                 self._outbox.add(CancelAttempt(pending.request.id, attempt_number))
         if not pending.attempt_count:
             if not pending.awaiting_admission:
-                self.quota.release_admitted(pending)
-            self.quota.return_units(pending, self._now)
+                self.quota.undo_admission(pending)
+            self.quota.return_counted_units(pending, self._now)
         if not pending.in_flight:
             self.concurrency_quota.release(pending.request.id)
         if pending.is_safe_to_retry:
