--- a/rushroad/policy/active_endpoints.py
+++ b/rushroad/policy/active_endpoints.py
@@ -37,10 +37,10 @@
     """One endpoint, with what each part of the policy keeps of it."""
 
     __slots__ = (
-        "borrowed",
         "concurrency",
         "endpoint_class",
         "entry",
+        "is_fallback",
         "latency",
         "load",
         "outlier",
@@ -57,7 +57,7 @@
     ) -> None:
         self.entry = entry
         self.endpoint_class = endpoint_class
-        self.borrowed = False  # from outside the subset
+        self.is_fallback = False  # from outside the subset
         self.concurrency = concurrency
         self.latency = RelativeLatency()
         self.load = LoadEstimate(now)
@@ -115,8 +115,8 @@
         is_removed = entry.state is EndpointState.REMOVED
         in_subset = not is_removed and self._table.in_subset(entry)
         if endpoint is not None and in_subset:
-            endpoint.borrowed = False
-        if is_removed or not (in_subset or (endpoint is not None and endpoint.borrowed)):
+            endpoint.is_fallback = False
+        if is_removed or not (in_subset or (endpoint is not None and endpoint.is_fallback)):
             self._endpoints.pop(entry.name, None)
         elif endpoint is None:
             self._add(entry, now)
@@ -156,7 +156,7 @@
 
     # --- borrowed endpoints -------------------------------------------------------------------------------
 
-    def borrow_if_short(self, suspects: int, now: int) -> bool:
+    def add_fallback_if_needed(self, suspects: int, now: int) -> bool:
         """Borrow an endpoint while too few of the subset are warm and not suspect; True if one was added.
 
         Each gateway finds other ones, by chance. None that is warming up is taken: its own gateways together
@@ -168,23 +168,25 @@
         expected_size = self._table.expected_subset_size()
         if self._warm - suspects >= MIN_GOOD * expected_size or len(self.ready) >= MAX_ACTIVE * expected_size:
             return False
-        entry = self._table.draw(lambda each: self._can_be_borrowed(each, now), self._random)
+        entry = self._table.draw(lambda each: self._is_fallback_candidate(each, now), self._random)
         if entry is None:
             return False
-        self.borrow(entry, now)
+        self.add_fallback(entry, now)
         return True
 
     def find_in_cell(self, cell: int, now: int) -> Endpoint | None:
         """Return an entry of a cell that can be borrowed, if cells matter and there is one."""
-        return self._table.draw_in_cell(cell, lambda each: self._can_be_borrowed(each, now), self._random)
+        return self._table.draw_in_cell(
+            cell, lambda each: self._is_fallback_candidate(each, now), self._random
+        )
 
-    def borrow(self, entry: Endpoint, now: int) -> ActiveEndpoint:
+    def add_fallback(self, entry: Endpoint, now: int) -> ActiveEndpoint:
         """Add an endpoint from outside the subset; `refresh` is due after it."""
         endpoint = self._add(entry, now)
-        endpoint.borrowed = True
+        endpoint.is_fallback = True
         return endpoint
 
-    def _can_be_borrowed(self, entry: Endpoint, now: int) -> bool:
+    def _is_fallback_candidate(self, entry: Endpoint, now: int) -> bool:
         return (
             entry.state is EndpointState.READY
             and entry.name not in self._endpoints
@@ -212,7 +214,7 @@
         """
         if self._counted_at is not None and now - self._counted_at <= COUNT_INTERVAL:
             return
-        self._return_borrowed(now)
+        self._remove_unneeded_fallbacks(now)
         self._warm = sum(not self._slow_start.is_warming_up(e.entry, now) for e in self.ready)
         self._counted_at = now
         for number, endpoint_class in self._classes.items():
@@ -220,8 +222,8 @@
             warm = sum(not self._slow_start.is_warming_up(entry, now) for entry in entries)
             endpoint_class.throughput.set_warm(warm, now)
 
-    def _return_borrowed(self, now: int) -> None:
-        own = [endpoint for endpoint in self.ready if not endpoint.borrowed]
+    def _remove_unneeded_fallbacks(self, now: int) -> None:
+        own = [endpoint for endpoint in self.ready if not endpoint.is_fallback]
         if len(own) == len(self.ready):
             return
         suspects = {endpoint.entry.name for endpoint in self._outliers.suspects(own, now)}
@@ -231,6 +233,6 @@
         if good <= MIN_GOOD * self._table.expected_subset_size():
             return
         for endpoint in self.ready:
-            if endpoint.borrowed and not endpoint.concurrency.in_flight:
+            if endpoint.is_fallback and not endpoint.concurrency.in_flight:
                 del self._endpoints[endpoint.entry.name]
-        self.ready = [e for e in self.ready if not e.borrowed or e.concurrency.in_flight]
+        self.ready = [e for e in self.ready if not e.is_fallback or e.concurrency.in_flight]
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -238,23 +238,23 @@
         if not self.load_shedding.has_capacity(self.endpoints.ready, now):
             return None
         suspects = self.outliers.suspects(self.endpoints.ready, now)
-        if self.endpoints.borrow_if_short(len(suspects), now):
+        if self.endpoints.add_fallback_if_needed(len(suspects), now):
             self.endpoint_updates.refresh(now)
-        ejected = self.outliers.ejected_among(suspects, len(self.endpoints.ready))
+        ejected = self.outliers.select_ejected(suspects, len(self.endpoints.ready))
         endpoint = self.load_balancer.choose(pending, avoid, ejected, now)
         if endpoint is None and pending.possible_executions:
             entry = self.load_balancer.find_in_cell(pending, now)
             if entry is not None:
-                endpoint = self.endpoints.borrow(entry, now)
+                endpoint = self.endpoints.add_fallback(entry, now)
                 self.endpoint_updates.refresh(now)
         return endpoint
 
     def _start_attempt(self, pending: PendingRequest, endpoint: ActiveEndpoint) -> None:
         now, request, number = self._now, pending.request, pending.attempts
         timeout = self.retry_policy.attempt_timeout(pending, now)
-        check_delay = self.retry_policy.check_delay(pending, now)
-        if check_delay is not None:
-            self.timers.start(check_delay, AttemptCheckDue(request.id, number))
+        attempt_check_delay = self.retry_policy.attempt_check_delay(pending, now)
+        if attempt_check_delay is not None:
+            self.timers.start(attempt_check_delay, AttemptCheckDue(request.id, number))
         if number == 0:
             pending.tenant.ceiling.take(request.units)
         if not pending.in_flight:
@@ -263,7 +263,7 @@
         self.load_shedding.attempt_started(now)
         endpoint.concurrency.in_flight[(request.id, number)] = now
         if endpoint.outlier.ejected:
-            self.outliers.postpone_probe(endpoint, now)
+            self.outliers.schedule_probe(endpoint, now)
         self.slow_start.take(endpoint)
         pending.in_flight[number] = InFlightAttempt(endpoint, now)
         pending.attempts += 1
@@ -291,7 +291,7 @@
             pending.possible_executions.append(execution)
         if pending.in_flight:
             return
-        if self.retry_policy.take_retry(pending, outcome.result):
+        if self.retry_policy.acquire_retry(pending, outcome.result):
             self._start_next_attempt(pending, outcome.endpoint)
         else:
             self._finish(pending)
--- a/rushroad/policy/load_balancer.py
+++ b/rushroad/policy/load_balancer.py
@@ -87,7 +87,7 @@
         return concurrency.count(self._limiter.abandoned_since(now)) >= concurrency.limit.attempts
 
     def _may_warm_up(self, endpoint: ActiveEndpoint, now: int) -> bool:
-        if endpoint.borrowed:
+        if endpoint.is_fallback:
             return False
         rate = self._endpoints.warm_response_rate(endpoint, now)
         return self._slow_start.has_budget(endpoint, rate, now)
--- a/rushroad/policy/outlier_detection.py
+++ b/rushroad/policy/outlier_detection.py
@@ -63,7 +63,7 @@
                     suspects.append(endpoint)
         return suspects
 
-    def ejected_among(self, suspects: list[ActiveEndpoint], endpoint_count: int) -> set[str]:
+    def select_ejected(self, suspects: list[ActiveEndpoint], endpoint_count: int) -> set[str]:
         """Return the names of the suspects that are to be avoided, the worst first if there are many."""
         suspects.sort(key=lambda each: (-each.outlier.error_rate, each.outlier.responded_at))
         # A refused connection proves an endpoint down, so all of these may be ejected.
@@ -83,9 +83,9 @@
     def eject(self, endpoint: ActiveEndpoint, now: int) -> None:
         """Eject an endpoint."""
         endpoint.outlier.ejected = True
-        self.postpone_probe(endpoint, now)
+        self.schedule_probe(endpoint, now)
 
-    def postpone_probe(self, endpoint: ActiveEndpoint, now: int) -> None:
+    def schedule_probe(self, endpoint: ActiveEndpoint, now: int) -> None:
         """Let the next request probe the endpoint one ejection interval from now."""
         replicas = 1.0 if self._limiter.pooled is None else self._limiter.replicas
         interval = int(min(MAX_EJECTION, EJECTION_RESPONSES * replicas * self._typical_latency()))
--- a/rushroad/policy/retry_policy.py
+++ b/rushroad/policy/retry_policy.py
@@ -32,7 +32,7 @@
         """Take one retry from the budget."""
         self._budget -= 1
 
-    def take_retry(self, pending: PendingRequest, result: Result) -> bool:
+    def acquire_retry(self, pending: PendingRequest, result: Result) -> bool:
         """Whether a request may be tried again after such a result; takes from the budget where it must."""
         if result.proven_not_executed:
             return True
@@ -62,7 +62,7 @@
             return False
         return not pending.possible_executions and not pending.in_flight  # a retry has all that is left
 
-    def check_delay(self, pending: PendingRequest, now: int) -> int | None:
+    def attempt_check_delay(self, pending: PendingRequest, now: int) -> int | None:
         """Return when to check whether the attempt's endpoint is silent; None where it can't be cancelled."""
         if not self._limits.cancellation_allowed or not self._leaves_time_for_retry(pending):
             return None
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -23,5 +23,5 @@
 
 
 def usable_names(gateway: Gateway) -> set[str]:
-    """The names of the ready endpoints that a gateway forwards to: its subset and those borrowed."""
+    """The names of the ready endpoints that a gateway forwards to: its subset and the fallback endpoints."""
     return {endpoint.entry.name for endpoint in gateway.endpoints.ready}
