--- a/rushroad/policy/latency.py
+++ b/rushroad/policy/latency.py
@@ -1,15 +1,15 @@
-"""Running means of response times: by class of requests, by endpoint and by class of endpoints."""
+"""Running means of response times by request class, endpoint and endpoint class, in microseconds."""
 
 from __future__ import annotations
 
 from rushroad.policy.events import AttemptOutcome, Result
 from rushroad.policy.settings import Settings
 
-SMOOTHING = 0.03  # weight of a new response time: work varies as much as its mean, so some thirty must count
+SMOOTHING = 0.03  # weight of a new response time; work varies as much as its mean, so about 30 must count
 
 
 class RelativeLatency:
-    """Response time as a multiple of the typical one of the request class."""
+    """Running mean of response times, as multiples of the typical one of the request class."""
 
     __slots__ = ("mean", "samples")
 
@@ -17,17 +17,17 @@
         self.mean, self.samples = 1.0, 0
 
     def reset(self) -> None:
-        """Forget all samples, as after a restart of the endpoint."""
+        """Discard all samples, as after a restart of the endpoint."""
         self.mean, self.samples = 1.0, 0
 
     def record(self, relative: float) -> None:
-        """Take in one more sample."""
+        """Add a sample."""
         self.samples += 1
         self.mean += max(SMOOTHING, 1.0 / self.samples) * (relative - self.mean)
 
 
 class LatencyTracker:
-    """The typical response time of each request class, in microseconds; 0 before the first response."""
+    """The typical response time of each request class; 0 before the first response."""
 
     def __init__(self, settings: Settings) -> None:
         self._typical = [0.0 for _ in settings.request_classes]
@@ -41,9 +41,9 @@
         return max(self._typical)
 
     def relative(self, outcome: AttemptOutcome, class_index: int) -> float | None:
-        """Return an attempt's time relative to the typical one; None where it tells nothing of latency.
+        """Return an attempt's time relative to the typical one; None if the result shows no latency.
 
-        What was given up would have taken longer still, so it counts with the time that it took.
+        An attempt that timed out or was cancelled would have taken longer, so its elapsed time counts.
         """
         typical = self._typical[class_index] or float(outcome.elapsed)
         if not typical or outcome.result not in (Result.OK, Result.TIMEOUT, Result.CANCELLED):
@@ -51,6 +51,6 @@
         return outcome.elapsed / typical
 
     def record_response(self, elapsed: int, class_index: int) -> None:
-        """Take in the time of a good response."""
+        """Add the response time of a successful attempt."""
         typical = self._typical[class_index] or float(elapsed)
         self._typical[class_index] = typical + SMOOTHING * (elapsed - typical)
--- a/rushroad/policy/load_balancer.py
+++ b/rushroad/policy/load_balancer.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint with the least expected wait."""
+"""Chooses the endpoint with the least expected wait for an attempt. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -19,19 +19,20 @@
 if TYPE_CHECKING:
     from rushroad.policy.active_endpoints import ActiveEndpoint
 
-ERROR_WEIGHT = 4.0  # how much an endpoint's error rate adds to its expected wait: an error costs a request
-AVOID_FACTOR = 10.0  # on the expected wait at the endpoint of the failed attempt
-LOAD_MEMORY = SECOND  # microseconds after which a reported load says little
-LOAD_SMOOTHING = 0.2  # weight of a new report in the mean load
-OVERLOAD_REQUESTS = 4  # added to the load of an endpoint that rejects a request
-MAX_UTILIZATION = 0.8  # taken from load reports
-TRUSTED_SAMPLES = 10.0  # of an endpoint, at which its own latency counts as much as its class's
-MIN_WEIGHT = 0.01  # of an endpoint
-TIE_SPREAD = 0.05  # random part of the expected wait where the load is known
+ERROR_RATE_WEIGHT = 4.0  # of the error rate in the expected wait; an error costs a request
+AVOID_PENALTY_FACTOR = 10.0  # on the expected wait at the endpoint of the failed attempt
+LOAD_REPORT_TIME_CONSTANT = SECOND  # of the exponential decay of the confidence in a load report
+LOAD_SMOOTHING = 0.2  # weight of a new report in the running mean load
+OVERLOAD_PENALTY = 4  # requests added to the load estimate of an endpoint that rejects a request
+MAX_UTILIZATION = 0.8  # upper bound of the utilization in load reports
+# With this many samples, an endpoint's own latency counts as much as its class's.
+CLASS_LATENCY_PRIOR_SAMPLES = 10.0
+MIN_WEIGHT = 0.01  # lower bound of an endpoint's weight, by which the load is divided
+TIE_BREAK_JITTER = 0.05  # random fraction of the expected wait where the load is known
 
 
 class LoadBalancer:
-    """Chooses among the active endpoints that every rule allows for an attempt."""
+    """Chooses among the active endpoints that all parts of the policy allow for an attempt."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
     def choose(
         self, pending: PendingRequest, avoid: str | None, ejected: set[str], now: int
     ) -> ActiveEndpoint | None:
-        """Return the best ready endpoint, or None; the one to `avoid` only if all are as bad."""
+        """Return the best allowed endpoint that is ready, or None; `avoid` only if the others are as bad."""
         best, least_wait = None, 0.0
         for endpoint in self._endpoints.ready:
             name = endpoint.entry.name
@@ -66,22 +67,23 @@
             if name in ejected:
                 if not self._is_probe_due(pending, endpoint, now):
                     continue
+                # With a pooled limit, hundreds of gateways probe it often enough without being forced to.
                 if self._limiter.pooled is None:
-                    wait = 0.0  # hundreds of gateways probe it without being made to
+                    wait = 0.0
             if name == avoid:
-                wait = (1.0 + wait) * AVOID_FACTOR
+                wait = (1.0 + wait) * AVOID_PENALTY_FACTOR
             if best is None or wait < least_wait:
                 best, least_wait = endpoint, wait
         return best
 
     def _is_allowed(self, pending: PendingRequest, endpoint: ActiveEndpoint, now: int) -> bool:
-        if self._limiter.pooled is None and self._is_at_its_limit(endpoint.concurrency, now):
+        if self._limiter.pooled is None and self._is_at_limit(endpoint.concurrency, now):
             return False
         if pending.possible_executions and not self._retry_policy.allows(pending, endpoint.entry, now):
             return False
         return not self._slow_start.is_warming_up(endpoint.entry, now) or self._may_warm_up(endpoint, now)
 
-    def _is_at_its_limit(self, concurrency: EndpointConcurrency, now: int) -> bool:
+    def _is_at_limit(self, concurrency: EndpointConcurrency, now: int) -> bool:
         if not concurrency.abandoned:
             return len(concurrency.in_flight) >= concurrency.limit.attempts
         return concurrency.count(self._limiter.abandoned_since(now)) >= concurrency.limit.attempts
@@ -99,7 +101,7 @@
         return pending.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
 
     def find_in_cell(self, pending: PendingRequest, now: int) -> Endpoint | None:
-        """Return an endpoint outside the subset where a keyed request that may have run can go on."""
+        """Return an endpoint outside the subset for the retry of a keyed request that is bound to a cell."""
         if not self._retry_policy.is_bound_to_cell(pending):
             return None
         entry = self._endpoints.find_in_cell(pending.possible_executions[-1].entry.cell, now)
@@ -108,24 +110,29 @@
         return entry
 
     def expected_wait(self, endpoint: ActiveEndpoint, now: int) -> float:
-        """Return the expected time to a response, in typical response times, as far as it is known.
+        """Return the expected time to a response, as a multiple of the typical response time.
 
-        The less is known of an endpoint's load, the more chance decides: gateways that know as little as
-        each other must not all choose the same endpoint.
+        The less is known of an endpoint's load, the larger the random part: gateways without load reports
+        must not all choose the same endpoint.
         """
         weight = max(MIN_WEIGHT, endpoint.entry.weight) if self._has_weights else 1.0
-        known = math.exp((endpoint.load.updated_at - now) / LOAD_MEMORY)
-        others = endpoint.load.requests * known + self._mean_load * (1.0 - known)
+        confidence = math.exp((endpoint.load.updated_at - now) / LOAD_REPORT_TIME_CONSTANT)
+        other_load = endpoint.load.requests * confidence + self._mean_load * (1.0 - confidence)
         samples = endpoint.latency.samples
-        trust = samples / (samples + TRUSTED_SAMPLES)
-        latency = endpoint.latency.mean * trust + endpoint.endpoint_class.latency.mean * (1.0 - trust)
-        tie_break = self._random.uniform(1.0 - TIE_SPREAD, 1.0 + TIE_SPREAD)
-        chance = tie_break * math.pow(self._random.expovariate(1.0), (1.0 - known) / 2)
-        risk = 1.0 + ERROR_WEIGHT * endpoint.outlier.error_rate
-        return latency * risk * (1.0 + (len(endpoint.concurrency.in_flight) + others) / weight) * chance
+        own_share = samples / (samples + CLASS_LATENCY_PRIOR_SAMPLES)
+        latency = endpoint.latency.mean * own_share + endpoint.endpoint_class.latency.mean * (1.0 - own_share)
+        tie_break = self._random.uniform(1.0 - TIE_BREAK_JITTER, 1.0 + TIE_BREAK_JITTER)
+        random_factor = tie_break * math.pow(self._random.expovariate(1.0), (1.0 - confidence) / 2)
+        error_factor = 1.0 + ERROR_RATE_WEIGHT * endpoint.outlier.error_rate
+        return (
+            latency
+            * error_factor
+            * (1.0 + (len(endpoint.concurrency.in_flight) + other_load) / weight)
+            * random_factor
+        )
 
     def record_load_report(self, endpoint: ActiveEndpoint, report: tuple[float, ...], now: int) -> None:
-        """Take in a load report."""
+        """Update the load estimate from a load report; the field "inflight" takes precedence over "util"."""
         fields = dict(zip(self._report_fields, report, strict=False))
         load = endpoint.load
         if "inflight" in fields:
@@ -137,5 +144,5 @@
         self._mean_load += LOAD_SMOOTHING * (load.requests - self._mean_load)
 
     def record_overload(self, endpoint: ActiveEndpoint, now: int) -> None:
-        """Take in that an endpoint rejected a request because it is overloaded."""
-        endpoint.load.requests, endpoint.load.updated_at = endpoint.load.requests + OVERLOAD_REQUESTS, now
+        """Raise the load estimate of an endpoint that rejected a request as overloaded."""
+        endpoint.load.requests, endpoint.load.updated_at = endpoint.load.requests + OVERLOAD_PENALTY, now
--- a/rushroad/policy/outcome_recorder.py
+++ b/rushroad/policy/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""Hands the outcome of an attempt to the parts of the policy that learn from it."""
+"""Passes the outcome of an attempt to the parts of the policy that use it. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class OutcomeRecorder:
-    """Lets each part learn in its turn."""
+    """Updates limits, load estimates, latencies and outlier detection from outcomes."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
     def record(
         self, endpoint: ActiveEndpoint, outcome: AttemptOutcome, pending: PendingRequest | None, now: int
     ) -> None:
-        """Take in an outcome; `pending` is None where the request had its final answer before."""
+        """Record an outcome; `pending` is None if the request already had its final answer."""
         endpoint.concurrency.in_flight.pop((outcome.request_id, outcome.attempt), None)
         request_class = pending.request_class if pending is not None else None
         is_short = self._load_shedding.is_capacity_short
@@ -74,7 +74,7 @@
             self._load_balancer.record_overload(endpoint, now)
 
     def eject_if_silent(self, endpoint: ActiveEndpoint, since: int, now: int) -> bool:
-        """Eject an endpoint that has not responded since then, though it should have."""
+        """Eject an endpoint that has not responded since then, although it should have; return True if so."""
         rate = self._endpoints.warm_response_rate(endpoint, now)
         if not self._outliers.is_silent(endpoint, rate, since, now):
             return False
