--- a/rushroad/policy/retry_policy.py
+++ b/rushroad/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""Which attempts a request may get: the retry budget, attempt timeouts and where a retry may go."""
+"""Retry budget, attempt timeouts and the endpoints that a retry may use. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from rushroad.policy.pending_request import PendingRequest
 from rushroad.policy.settings import DeduplicationScope, Idempotency, Settings
 
-BUDGET_RATIO = 0.15  # retries for each request, in the long run: they must not double an overload
-MAX_BUDGET = 10.0  # retries saved up: one bad endpoint's share of a burst
-FIRST_ATTEMPT_TIME = 0.5  # of the time to the latency objective, for the first of two possible attempts
+BUDGET_RATIO = 0.15  # retries per request in the long run; in an overload, retries must not double the load
+MAX_BUDGET = 10.0  # retries that can accumulate: one failing endpoint's share of a burst
+FIRST_ATTEMPT_FRACTION = 0.5  # of the time to the latency objective, for the first of two possible attempts
 
 
 class RetryPolicy:
-    """Decides whether, when and where a request is tried again. Times and spans are in microseconds."""
+    """Decides whether, when and where a request is retried or hedged."""
 
     def __init__(self, settings: Settings) -> None:
         self._limits = settings.limits
@@ -20,12 +20,12 @@
         self._budget = MAX_BUDGET
 
     def request_arrived(self) -> None:
-        """Add a request's part to the retry budget."""
+        """Add a request's share to the retry budget."""
         self._budget = min(MAX_BUDGET, self._budget + BUDGET_RATIO)
 
     @property
     def has_budget(self) -> bool:
-        """True where a retry or a hedged request is within the budget."""
+        """True if a retry or a hedged request is within the budget."""
         return self._budget >= 1
 
     def take(self) -> None:
@@ -33,7 +33,7 @@
         self._budget -= 1
 
     def acquire_retry(self, pending: PendingRequest, result: Result) -> bool:
-        """Whether a request may be tried again after such a result; takes from the budget where it must."""
+        """Return whether a request may be retried; takes from the budget if it may have been executed."""
         if result.proven_not_executed:
             return True
         if pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT or not self.has_budget:
@@ -42,17 +42,17 @@
         return True
 
     def time_to_objective(self, pending: PendingRequest, now: int) -> int:
-        """Return the time left for a response within the latency objective."""
+        """Return the time left for a response within the latency objective, less one tick."""
         return pending.objective_at - now - self._tick
 
     def has_attempt_left(self, pending: PendingRequest, now: int) -> bool:
-        """Whether attempts and time allow one more."""
+        """Return whether the maximum number of attempts and the time left allow one more attempt."""
         if pending.attempts >= self._limits.max_attempts:
             return False
         return self.time_to_objective(pending, now) > self._tick
 
     def may_hedge(self, pending: PendingRequest) -> bool:
-        """Whether a second attempt may be in flight beside a silent one: the first response counts."""
+        """Return whether a second attempt may run beside an unanswered one; the first response counts."""
         return self._limits.hedging_allowed and pending.request_class.idempotency is Idempotency.IDEMPOTENT
 
     def _leaves_time_for_retry(self, pending: PendingRequest) -> bool:
@@ -60,13 +60,13 @@
             return False
         if pending.attempts + 1 >= self._limits.max_attempts:
             return False
-        return not pending.possible_executions and not pending.in_flight  # a retry has all that is left
+        return not pending.possible_executions and not pending.in_flight  # a retry gets all the time left
 
     def attempt_check_delay(self, pending: PendingRequest, now: int) -> int | None:
-        """Return when to check whether the attempt's endpoint is silent; None where it can't be cancelled."""
+        """Return the delay until the check for a silent endpoint; None if the attempt is not checked."""
         if not self._limits.cancellation_allowed or not self._leaves_time_for_retry(pending):
             return None
-        return int(self.time_to_objective(pending, now) * FIRST_ATTEMPT_TIME)
+        return int(self.time_to_objective(pending, now) * FIRST_ATTEMPT_FRACTION)
 
     def attempt_timeout(self, pending: PendingRequest, now: int) -> int:
         """Return the timeout of an attempt that starts now."""
@@ -74,11 +74,11 @@
         timeout = remaining if pending.request_class.late_weight > 0 else min(remaining, to_objective)
         is_first = pending.attempts == 0 and not self._limits.cancellation_allowed
         if is_first and self._leaves_time_for_retry(pending):
-            timeout = min(timeout, max(self._tick, int(to_objective * FIRST_ATTEMPT_TIME)))
+            timeout = min(timeout, max(self._tick, int(to_objective * FIRST_ATTEMPT_FRACTION)))
         return timeout
 
     def is_bound_to_cell(self, pending: PendingRequest) -> bool:
-        """Whether only endpoints of one cell drop duplicates of the request."""
+        """Return whether only endpoints of one cell drop duplicates of the request."""
         request_class = pending.request_class
         return (
             request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
@@ -86,9 +86,10 @@
         )
 
     def allows(self, pending: PendingRequest, entry: Endpoint, now: int) -> bool:
-        """Whether a request that may have been executed can be sent to an endpoint.
+        """Return whether a request that may have been executed may be sent to an endpoint.
 
-        One with an idempotency key stays in its scope and window; a new connection may take its time.
+        A request with an idempotency key must stay within its deduplication scope and window, less the time
+        that a new connection may take.
         """
         request_class = pending.request_class
         if request_class.idempotency is Idempotency.IDEMPOTENT:
