--- a/rushroad/policy/active_endpoints.py
+++ b/rushroad/policy/active_endpoints.py
@@ -1,4 +1,8 @@
-"""The endpoints that this gateway forwards to: its subset of the list, and some borrowed from outside it."""
+"""The endpoints that this gateway may forward to: its subset of the endpoint list, and fallback endpoints.
+
+A fallback endpoint is one from outside the subset. It is added while too few endpoints of the subset are
+healthy, or for a retry that must stay in its cell. Times are in microseconds.
+"""
 
 from __future__ import annotations
 
@@ -17,14 +21,14 @@
 from rushroad.policy.slow_start import SlowStart, SlowStartBudget
 from rushroad.policy.throughput import ClassThroughput
 
-COUNT_INTERVAL = SECOND  # microseconds between counts of the warm endpoints
-REVIEW_PART = 1_000  # entries of the list reviewed at once: some milliseconds
-MIN_GOOD = 0.5  # of the subset's expected size; with fewer good endpoints some are borrowed
-MAX_ACTIVE = 2.0  # times the subset's expected size
+WARM_COUNT_INTERVAL = SECOND  # between counts of the warm endpoints
+REVIEW_BATCH_SIZE = 1_000  # entries of the endpoint list reviewed in one step, which takes some milliseconds
+MIN_HEALTHY_FRACTION = 0.5  # of the expected subset size; below it, fallback endpoints are added
+MAX_READY_MULTIPLE = 2.0  # of the expected subset size; at it, no further fallback endpoints are added
 
 
-class EndpointClass:
-    """What endpoints of one class share: a gateway of a large fleet meets each of them too seldom."""
+class EndpointClassStats:
+    """Statistics of all endpoints of one class: a gateway of a large fleet has too few samples of each."""
 
     __slots__ = ("latency", "throughput")
 
@@ -34,7 +38,7 @@
 
 
 class ActiveEndpoint:
-    """One endpoint, with what each part of the policy keeps of it."""
+    """An entry of the endpoint list, with the state that each part of the policy keeps for it."""
 
     __slots__ = (
         "concurrency",
@@ -50,7 +54,7 @@
     def __init__(
         self,
         entry: Endpoint,
-        endpoint_class: EndpointClass,
+        endpoint_class: EndpointClassStats,
         concurrency: EndpointConcurrency,
         slow_start: SlowStartBudget,
         now: int,
@@ -64,8 +68,8 @@
         self.outlier = OutlierState(now)
         self.slow_start = slow_start
 
-    def restarted(self, random: Random, now: int) -> None:
-        """Forget what the process before has shown."""
+    def reset_after_restart(self, random: Random, now: int) -> None:
+        """Discard what was learned from the previous process."""
         self.outlier.reset()
         self.latency.reset()
         self.concurrency.forget_abandoned()
@@ -73,7 +77,7 @@
 
 
 class ActiveEndpoints:
-    """The table of these endpoints."""
+    """The active endpoints by name, and the list of those that are ready."""
 
     def __init__(
         self,
@@ -91,11 +95,11 @@
         self._slow_start = slow_start
         self._random = random
         self._endpoints: dict[str, ActiveEndpoint] = {}
-        self._classes: dict[int, EndpointClass] = {}
+        self._class_stats: dict[int, EndpointClassStats] = {}
         self.ready: list[ActiveEndpoint] = []
-        self._warm = 0  # ready endpoints that were warm at the last count
-        self._counted_at: int | None = None  # when they were; None where the count is out of date
-        self._review: Iterator[Endpoint] | None = None  # of all entries, while the subset changes
+        self._warm_count = 0  # ready endpoints that were warm at the last count
+        self._warm_counted_at: int | None = None  # None if the count is out of date
+        self._review: Iterator[Endpoint] | None = None  # over all entries, while the subset changes
 
     def __len__(self) -> int:
         return len(self._endpoints)
@@ -104,13 +108,13 @@
         return name in self._endpoints
 
     def get(self, name: str) -> ActiveEndpoint | None:
-        """Return the endpoint of this name."""
+        """Return the endpoint with this name; None if it is not active."""
         return self._endpoints.get(name)
 
-    # --- changes of the list ------------------------------------------------------------------------------
+    # --- changes of the endpoint list ---------------------------------------------------------------------
 
     def update(self, entry: Endpoint, now: int) -> None:
-        """Take in an entry of the list as it is now; `refresh` is due after the last one."""
+        """Apply the current entry of an endpoint; call `refresh` after the last one."""
         endpoint = self._endpoints.get(entry.name)
         is_removed = entry.state is EndpointState.REMOVED
         in_subset = not is_removed and self._table.in_subset(entry)
@@ -122,66 +126,69 @@
             self._add(entry, now)
         else:
             if entry.started_at != endpoint.entry.started_at:
-                endpoint.restarted(self._random, now)
+                endpoint.reset_after_restart(self._random, now)
             endpoint.entry = entry
 
     def _add(self, entry: Endpoint, now: int) -> ActiveEndpoint:
         concurrency = EndpointConcurrency(self._limiter.new_limit(now))
-        endpoint_class = self._classes.setdefault(entry.endpoint_class, EndpointClass(now))
+        endpoint_class = self._class_stats.setdefault(entry.endpoint_class, EndpointClassStats(now))
         budget = SlowStartBudget(self._random, now)
         endpoint = ActiveEndpoint(entry, endpoint_class, concurrency, budget, now)
         self._endpoints[entry.name] = endpoint
         return endpoint
 
     def refresh(self) -> None:
-        """Bring the list of ready endpoints up to date."""
+        """Rebuild the list of ready endpoints."""
         self.ready = [e for e in self._endpoints.values() if e.entry.state is EndpointState.READY]
-        self._counted_at = None
+        self._warm_counted_at = None
 
     def start_review(self) -> bool:
-        """Review all entries anew, since endpoints have more or fewer replicas; False if one was running."""
+        """Start a new review of all entries after a change of the subset size; False if one was running."""
         was_running = self._review is not None
         self._review = self._table.iterate_backwards()
         return not was_running
 
-    def review_next_part(self, now: int) -> bool:
-        """Review the next part of the entries; True while more is left."""
-        part = list(islice(self._review or (), REVIEW_PART))
-        for entry in part:
+    def review_next_batch(self, now: int) -> bool:
+        """Review the next batch of entries; return True while more are left."""
+        batch = list(islice(self._review or (), REVIEW_BATCH_SIZE))
+        for entry in batch:
             self.update(entry, now)
-        is_unfinished = len(part) == REVIEW_PART
+        is_unfinished = len(batch) == REVIEW_BATCH_SIZE
         if not is_unfinished:
             self._review = None
         return is_unfinished
 
-    # --- borrowed endpoints -------------------------------------------------------------------------------
+    # --- fallback endpoints -------------------------------------------------------------------------------
 
-    def add_fallback_if_needed(self, suspects: int, now: int) -> bool:
-        """Borrow an endpoint while too few of the subset are warm and not suspect; True if one was added.
+    def add_fallback_if_needed(self, suspect_count: int, now: int) -> bool:
+        """Add a fallback endpoint if too few endpoints are warm and not suspect; return True if it was added.
 
-        Each gateway finds other ones, by chance. None that is warming up is taken: its own gateways together
-        send all that it bears.
+        It is picked at random, so that gateways pick different ones. Endpoints that are warming up are
+        excluded: the gateways that have them in their subsets already use all of their capacity.
         """
-        self._count_warm(now)
+        self._update_warm_counts(now)
         if self._table.mean_replicas >= self._fleet_size:
             return False
         expected_size = self._table.expected_subset_size()
-        if self._warm - suspects >= MIN_GOOD * expected_size or len(self.ready) >= MAX_ACTIVE * expected_size:
+        if (
+            self._warm_count - suspect_count >= MIN_HEALTHY_FRACTION * expected_size
+            or len(self.ready) >= MAX_READY_MULTIPLE * expected_size
+        ):
             return False
-        entry = self._table.draw(lambda each: self._is_fallback_candidate(each, now), self._random)
+        entry = self._table.pick_random(lambda each: self._is_fallback_candidate(each, now), self._random)
         if entry is None:
             return False
         self.add_fallback(entry, now)
         return True
 
     def find_in_cell(self, cell: int, now: int) -> Endpoint | None:
-        """Return an entry of a cell that can be borrowed, if cells matter and there is one."""
-        return self._table.draw_in_cell(
+        """Return a fallback candidate of a cell; None if there is none, or cells are not indexed."""
+        return self._table.pick_random_in_cell(
             cell, lambda each: self._is_fallback_candidate(each, now), self._random
         )
 
     def add_fallback(self, entry: Endpoint, now: int) -> ActiveEndpoint:
-        """Add an endpoint from outside the subset; `refresh` is due after it."""
+        """Add an endpoint from outside the subset; call `refresh` after it."""
         endpoint = self._add(entry, now)
         endpoint.is_fallback = True
         return endpoint
@@ -196,41 +203,42 @@
     # --- warm endpoints -----------------------------------------------------------------------------------
 
     def warm_response_rate(self, endpoint: ActiveEndpoint, now: int) -> float:
-        """Return the responses a second that a warm endpoint of this class gives to this gateway.
+        """Return the responses per second that this gateway gets from a warm endpoint of the same class.
 
-        Of any class where nothing is known of this one.
+        While the class has had no response, the mean over all classes is returned.
         """
-        self._count_warm(now)
+        self._update_warm_counts(now)
         own = endpoint.endpoint_class.throughput
-        throughputs = [own] if own.is_known else [each.throughput for each in self._classes.values()]
+        throughputs = [own] if own.is_known else [each.throughput for each in self._class_stats.values()]
         rate = sum(throughput.rate(now) for throughput in throughputs)
-        warm = sum(throughput.mean_warm(now) for throughput in throughputs)
+        warm = sum(throughput.mean_warm_count(now) for throughput in throughputs)
         return rate / warm if warm > 0 else 0.0
 
-    def _count_warm(self, now: int) -> None:
-        """Count the warm endpoints from time to time, and give borrowed ones back that are not needed.
+    def _update_warm_counts(self, now: int) -> None:
+        """Recount the warm endpoints if the count is out of date, and remove unneeded fallback endpoints.
 
-        Not at each choice: that would be quadratic in the endpoints that are warming up.
+        A recount at each choice would be quadratic in the number of endpoints that are warming up.
         """
-        if self._counted_at is not None and now - self._counted_at <= COUNT_INTERVAL:
+        if self._warm_counted_at is not None and now - self._warm_counted_at <= WARM_COUNT_INTERVAL:
             return
         self._remove_unneeded_fallbacks(now)
-        self._warm = sum(not self._slow_start.is_warming_up(e.entry, now) for e in self.ready)
-        self._counted_at = now
-        for number, endpoint_class in self._classes.items():
+        self._warm_count = sum(not self._slow_start.is_warming_up(e.entry, now) for e in self.ready)
+        self._warm_counted_at = now
+        for number, endpoint_class in self._class_stats.items():
             entries = (e.entry for e in self.ready if e.entry.endpoint_class == number)
             warm = sum(not self._slow_start.is_warming_up(entry, now) for entry in entries)
-            endpoint_class.throughput.set_warm(warm, now)
+            endpoint_class.throughput.set_warm_count(warm, now)
 
     def _remove_unneeded_fallbacks(self, now: int) -> None:
-        own = [endpoint for endpoint in self.ready if not endpoint.is_fallback]
-        if len(own) == len(self.ready):
+        """Remove idle fallback endpoints if enough endpoints of the subset are warm and not suspect."""
+        subset = [endpoint for endpoint in self.ready if not endpoint.is_fallback]
+        if len(subset) == len(self.ready):
             return
-        suspects = {endpoint.entry.name for endpoint in self._outliers.suspects(own, now)}
-        good = sum(
-            not self._slow_start.is_warming_up(e.entry, now) and e.entry.name not in suspects for e in own
+        suspects = {endpoint.entry.name for endpoint in self._outliers.suspects(subset, now)}
+        healthy = sum(
+            not self._slow_start.is_warming_up(e.entry, now) and e.entry.name not in suspects for e in subset
         )
-        if good <= MIN_GOOD * self._table.expected_subset_size():
+        if healthy <= MIN_HEALTHY_FRACTION * self._table.expected_subset_size():
             return
         for endpoint in self.ready:
             if endpoint.is_fallback and not endpoint.concurrency.in_flight:
--- a/rushroad/policy/concurrency_limit.py
+++ b/rushroad/policy/concurrency_limit.py
@@ -1,7 +1,7 @@
-"""The adaptive limit on attempts in flight at an endpoint.
+"""The adaptive limit on attempts in flight at an endpoint. Times are in microseconds.
 
-An endpoint that holds too much only works on what nobody waits for any more. The limit rises while responses
-are timely and falls when they are late (additive increase, multiplicative decrease).
+An endpoint with too many attempts works only on requests that no client waits for any more. The limit rises
+while responses are timely and falls when they are late (additive increase, multiplicative decrease).
 """
 
 from __future__ import annotations
@@ -14,49 +14,49 @@
 if TYPE_CHECKING:
     from rushroad.policy.endpoints import EndpointTable
 
-INITIAL_LIMIT = 4.0  # attempts in flight at an endpoint, by all gateways: a few for each core
-INCREASE = 1.0  # attempts more, by all gateways, after as many timely responses as the limit
-DECREASE = 0.6  # factor on the limit after a late response
-LATE_RESPONSE = 0.3  # of the latency objective; slower responses show that an endpoint holds too much
-ABANDONED_OBJECTIVES = 2.0  # latency objectives after which an abandoned attempt has left the endpoint
+INITIAL_LIMIT = 4.0  # attempts in flight at an endpoint from all gateways together: a few per core
+INCREASE_STEP = 1.0  # attempts, from all gateways together, per as many timely responses as the limit
+DECREASE_FACTOR = 0.6  # on the limit, after a late response
+LATE_RESPONSE_FRACTION = 0.3  # of the latency objective; slower responses show too many attempts
+ABANDONED_RETENTION_FACTOR = 2.0  # on the longest latency objective; then an abandoned attempt has left
 
-AttemptKey: TypeAlias = tuple[int, int]  # request and number of the attempt
+AttemptKey: TypeAlias = tuple[int, int]  # request ID and attempt number
 
 
 class ConcurrencyLimit:
-    """A limit on attempts in flight; a fraction of one where many gateways share an endpoint."""
+    """A limit on attempts in flight; a fraction of an attempt where many gateways share an endpoint."""
 
     __slots__ = ("attempts", "decreased_at")
 
     def __init__(self, attempts: float, now: int) -> None:
         self.attempts = attempts
-        self.decreased_at = now  # microseconds
+        self.decreased_at = now
 
 
 class EndpointConcurrency:
-    """This gateway's attempts at one endpoint, and its limit there. Times are in microseconds."""
+    """This gateway's attempts at one endpoint, and its limit there."""
 
     __slots__ = ("abandoned", "in_flight", "limit")
 
     def __init__(self, limit: ConcurrencyLimit) -> None:
         self.limit = limit
-        self.in_flight: dict[AttemptKey, int] = {}  # when they were started, the oldest first
-        self.abandoned: list[int] = []  # when attempts were started that were given up
+        self.in_flight: dict[AttemptKey, int] = {}  # start times, oldest first
+        self.abandoned: list[int] = []  # start times of attempts that timed out or were cancelled
 
     def count(self, abandoned_since: int) -> int:
-        """Count attempts in flight and those that were abandoned but may still be at the endpoint."""
+        """Return the number of attempts in flight, with abandoned ones that may still be at the endpoint."""
         in_flight = len(self.in_flight)
         if self.abandoned:
             in_flight += sum(started_at > abandoned_since for started_at in self.abandoned)
         return in_flight
 
-    def abandon(self, started_at: int, abandoned_since: int) -> None:
-        """Remember an attempt that was given up."""
+    def record_abandoned(self, started_at: int, abandoned_since: int) -> None:
+        """Record an attempt that timed out or was cancelled."""
         recent = [at for at in self.abandoned if at > abandoned_since]
         self.abandoned = [*recent, started_at]
 
-    def responded(self, started_at: int) -> None:
-        """Forget abandoned attempts that were started before one that has been responded to."""
+    def forget_abandoned_up_to(self, started_at: int) -> None:
+        """Forget abandoned attempts that were started no later than one that got a response."""
         if self.abandoned:
             self.abandoned = [at for at in self.abandoned if at > started_at]
 
@@ -66,31 +66,31 @@
 
 
 class ConcurrencyLimiter:
-    """Adapts the limits. In large fleets one limit is pooled for all endpoints."""
+    """Adapts the limits; in a large fleet, one limit is pooled for all endpoints."""
 
     def __init__(self, settings: Settings, table: EndpointTable) -> None:
         self._fleet_size = settings.fleet_size
         self._table = table
         longest = max(c.latency_objective for c in settings.request_classes)
-        self._abandoned_time = int(ABANDONED_OBJECTIVES * longest)
+        self._abandoned_retention = int(ABANDONED_RETENTION_FACTOR * longest)
         self.pooled: ConcurrencyLimit | None = None
 
     @property
     def replicas(self) -> float:
-        """Gateways that share an endpoint, in the mean."""
+        """Mean number of gateways that share an endpoint."""
         return self._table.mean_replicas or self._fleet_size
 
-    def pool(self, now: int) -> None:
-        """Use one limit for all endpoints: this gateway's part of each is a fraction of an attempt."""
+    def use_pooled_limit(self, now: int) -> None:
+        """Use one limit for all endpoints: this gateway's share of each is a fraction of an attempt."""
         self.pooled = ConcurrencyLimit(INITIAL_LIMIT / self._table.mean_replicas, now)
 
     def new_limit(self, now: int) -> ConcurrencyLimit:
-        """Return the limit for an endpoint that is new here."""
+        """Return the limit for a newly active endpoint."""
         return self.pooled or ConcurrencyLimit(INITIAL_LIMIT / self.replicas, now)
 
     def abandoned_since(self, now: int) -> int:
-        """Return the time before which abandoned attempts have surely left their endpoints."""
-        return now - self._abandoned_time
+        """Return the time such that attempts started before it are no longer at their endpoints."""
+        return now - self._abandoned_retention
 
     def record(
         self,
@@ -100,21 +100,21 @@
         is_capacity_short: bool,
         now: int,
     ) -> None:
-        """Adapt the limit by how an attempt ended; `request_class` is None where the request is over."""
+        """Adapt the limit to an attempt's outcome; `request_class` is None if the request is already over."""
         started_at, limit = now - outcome.elapsed, concurrency.limit
-        # A limit that is not reached is not raised; a pooled one that is not reached is not lowered either.
+        # A limit is raised only if it is reached; a pooled limit is also lowered only if it is reached.
         pooled = self.pooled is not None
         is_reached = is_capacity_short if pooled else len(concurrency.in_flight) + 1 >= limit.attempts / 2
         is_late = outcome.result is Result.OVERLOADED
         if outcome.result in (Result.TIMEOUT, Result.CANCELLED):
-            concurrency.abandon(started_at, self.abandoned_since(now))
+            concurrency.record_abandoned(started_at, self.abandoned_since(now))
             is_late = True
         elif outcome.result is Result.OK:
-            concurrency.responded(started_at)
+            concurrency.forget_abandoned_up_to(started_at)
             objective = request_class.latency_objective if request_class is not None else None
-            is_late = objective is not None and outcome.elapsed > LATE_RESPONSE * objective
+            is_late = objective is not None and outcome.elapsed > LATE_RESPONSE_FRACTION * objective
             if not is_late and is_reached:
-                limit.attempts += INCREASE / self.replicas / max(1.0, limit.attempts)
+                limit.attempts += INCREASE_STEP / self.replicas / max(1.0, limit.attempts)
         if is_late and started_at >= limit.decreased_at and (is_reached or not pooled):
-            limit.attempts = max(1.0 / self.replicas, limit.attempts * DECREASE)
+            limit.attempts = max(1.0 / self.replicas, limit.attempts * DECREASE_FACTOR)
             limit.decreased_at = now
--- a/rushroad/policy/endpoint_updates.py
+++ b/rushroad/policy/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Takes updates of the endpoint list into the table and into this gateway's subset."""
+"""Applies endpoint updates to the endpoint table and to this gateway's subset. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from rushroad.policy.outbox import Outbox
 from rushroad.policy.quota import Quota
 from rushroad.policy.settings import Settings
-from rushroad.policy.subsetting import AFFORDABLE_REPLICAS
+from rushroad.policy.subsetting import SOFT_MAX_REPLICAS
 from rushroad.policy.timers import SUBSET_REVIEW, WATCH_RETRY, Timers
 
-WATCH_RETRIES = 10  # retries of a failed call to the discovery service that fit into the poll interval
-SAMPLED_CALL_SHARE = 0.5  # of the requests that call the counter at first, in a large fleet
+WATCH_RETRIES_PER_POLL_INTERVAL = 10  # at most, of a failed call to the discovery service
+INITIAL_SAMPLED_CALL_FRACTION = 0.5  # of the requests that call the counter initially in a large fleet
 
 
 class EndpointUpdates:
-    """Applies updates, and reviews the subset where the number of endpoints asks for another one."""
+    """Applies updates, and reviews the subset when its size changes with the number of endpoints."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._random = random
 
     def apply(self, update: EndpointUpdate, now: int) -> None:
-        """Take in one update."""
+        """Apply one update."""
         if update.kind is UpdateKind.FAILED:
             self._schedule_watch_retry()
             return
@@ -66,35 +66,35 @@
         if is_resized:
             self._start_review(now)
         for entry in changed:
-            if not is_resized or entry.name in self._endpoints:  # the review finds the others
+            if not is_resized or entry.name in self._endpoints:  # the review adds the others
                 self._endpoints.update(entry, now)
         self.refresh(now)
         if update.last:
             starts = [endpoint.entry.started_at for endpoint in self._endpoints.ready]
-            self._clock_skew.check_plausible(starts, now, self._settings.safety.warm_up_time)
+            self._clock_skew.check_plausibility(starts, now, self._settings.safety.warm_up_time)
 
     def _schedule_watch_retry(self) -> None:
-        """Retry well within the poll interval, but not at once: the calls of all gateways may have failed."""
-        delay = self._settings.safety.poll_interval // WATCH_RETRIES
+        """Retry well within the poll interval, after a random delay: all gateways' calls may have failed."""
+        delay = self._settings.safety.poll_interval // WATCH_RETRIES_PER_POLL_INTERVAL
         self._timers.start_single(self._random.randint(delay, 2 * delay), WATCH_RETRY)
 
     def _start_review(self, now: int) -> None:
         is_first = self._limiter.pooled is None and not self._endpoints
-        if is_first and self._table.mean_replicas > AFFORDABLE_REPLICAS:
-            # In such a fleet a gateway sees little of each endpoint and of each tenant.
-            self._limiter.pool(now)
-            self._breaker.call_share = SAMPLED_CALL_SHARE
+        if is_first and self._table.mean_replicas > SOFT_MAX_REPLICAS:
+            # In a fleet of this size a gateway handles few requests per endpoint and per tenant.
+            self._limiter.use_pooled_limit(now)
+            self._breaker.call_share = INITIAL_SAMPLED_CALL_FRACTION
             self._quota.samples_requests = True
         if self._endpoints.start_review():
             self.review_subset(now)
 
     def review_subset(self, now: int) -> None:
-        """Review the next part of the endpoint list after a change of the subset's size."""
-        if self._endpoints.review_next_part(now):
+        """Review the next batch of the endpoint list after a change of the subset size."""
+        if self._endpoints.review_next_batch(now):
             self._timers.start_single(self._settings.tick, SUBSET_REVIEW)
         self.refresh(now)
 
     def refresh(self, now: int) -> None:
-        """Bring what depends on the active endpoints up to date."""
-        self._load_shedding.accrue(now)
+        """Update the state that depends on the active endpoints."""
+        self._load_shedding.accrue_credit(now)
         self._endpoints.refresh()
--- a/rushroad/policy/endpoints.py
+++ b/rushroad/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint table: the endpoint list as discovery last reported it, and who of it is in the subset."""
+"""The endpoint table: the endpoint list as last reported by discovery, and the gateway's subset of it."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from rushroad.policy.subsetting import mean_replicas, replicas_of
 
-MAX_DRAWS = 8  # endpoints drawn to find an acceptable one; if most are acceptable, nearly always enough
+MAX_RANDOM_PICKS = 8  # tries to find an acceptable endpoint; nearly always enough if most are acceptable
 
 
 class EndpointTable:
-    """All endpoints of the list in compact form, with the size of this gateway's subset.
+    """All entries of the endpoint list in compact form, with the size of the subsets.
 
-    Entries stand in no particular order, but in one that depends only on the updates.
+    The order of the entries is unspecified, but depends only on the updates.
     """
 
     __slots__ = (
@@ -28,22 +28,22 @@
         "ready_count",
     )
 
-    def __init__(self, gateway_index: int, fleet_size: int, index_cells: bool) -> None:
-        """index_cells: whether draw_in_cell will be called."""
+    def __init__(self, gateway_index: int, fleet_size: int, index_by_cell: bool) -> None:
+        """Create an empty table; `index_by_cell` is needed for `pick_random_in_cell`."""
         self._gateway_index, self._fleet_size = gateway_index, fleet_size
-        self._positions: dict[str, int] = {}  # in _endpoints, by name
+        self._positions: dict[str, int] = {}  # indexes into _endpoints, by name
         self._endpoints: list[Endpoint] = []
-        self._unconfirmed: set[str] = set()  # names that the snapshot in progress has not contained so far
-        self._names_by_cell: dict[int, dict[str, None]] | None = {} if index_cells else None
+        self._unconfirmed: set[str] = set()  # names not seen so far in the snapshot in progress
+        self._names_by_cell: dict[int, dict[str, None]] | None = {} if index_by_cell else None
         self.ready_count = 0
-        self.mean_replicas = 0.0  # gateways that share an endpoint; 0 before the first whole snapshot
+        self.mean_replicas = 0.0  # gateways per endpoint; 0 before the first complete snapshot
 
     def apply(self, update: EndpointUpdate) -> list[Endpoint]:
-        """Take in an update; the entries that are new or changed, with those removed as REMOVED."""
+        """Apply an update; return the entries that are new, changed or, with the state REMOVED, removed."""
         is_snapshot = update.kind is not UpdateKind.DELTA
         if is_snapshot and update.first:
             self._unconfirmed = set(self._positions)
-        changed = [endpoint for endpoint in update.endpoints if self._put(endpoint)]
+        changed = [endpoint for endpoint in update.endpoints if self._apply_entry(endpoint)]
         if is_snapshot:
             self._unconfirmed.difference_update([endpoint.name for endpoint in update.endpoints])
             if update.last:
@@ -51,13 +51,13 @@
         return changed
 
     def _remove_unconfirmed(self) -> list[Endpoint]:
-        # Sorted, as the order of a set depends on the hash seed of this process.
+        # Sorted because the order of a set of strings depends on the hash seed of the process.
         removed = [Endpoint(name, EndpointState.REMOVED) for name in sorted(self._unconfirmed)]
         self._unconfirmed = set()
-        return [endpoint for endpoint in removed if self._put(endpoint)]
+        return [endpoint for endpoint in removed if self._apply_entry(endpoint)]
 
-    def _put(self, endpoint: Endpoint) -> bool:
-        """Take in an entry; false where it changes nothing."""
+    def _apply_entry(self, endpoint: Endpoint) -> bool:
+        """Apply one entry; return False if it changes nothing."""
         position = self._positions.get(endpoint.name)
         previous = None if position is None else self._endpoints[position]
         is_removed = endpoint.state is EndpointState.REMOVED
@@ -81,20 +81,20 @@
         return True
 
     def _remove(self, name: str) -> None:
-        """Remove an entry; the last one takes its position."""
+        """Remove an entry; the last entry moves to its position."""
         position, last = self._positions.pop(name), self._endpoints.pop()
         if last.name != name:
             self._endpoints[position], self._positions[last.name] = last, position
 
     def resize_subset(self) -> bool:
-        """Size the subsets by the endpoints that are ready now; true if that may move any entry."""
+        """Adapt the subset size to the number of ready endpoints; return True if that may move any entry."""
         previous = self.mean_replicas
         if self.ready_count:
             self.mean_replicas = mean_replicas(self._fleet_size, self.ready_count)
         return self.mean_replicas != previous
 
     def in_subset(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is in this gateway's subset."""
+        """Return whether an endpoint is in this gateway's subset."""
         if self.mean_replicas >= self._fleet_size:
             return True
         if self.mean_replicas <= 0:
@@ -102,28 +102,30 @@
         return self._gateway_index in replicas_of(endpoint.name, self._fleet_size, self.mean_replicas)
 
     def expected_subset_size(self) -> float:
-        """The mean number of ready endpoints in a gateway's subset."""
+        """Return the mean number of ready endpoints in a subset."""
         return self.ready_count * self.mean_replicas / self._fleet_size
 
     def iterate_backwards(self) -> Iterator[Endpoint]:
-        """All entries from the last position on: none is missed if the table changes meanwhile."""
+        """Yield all entries, the last first, so that none is missed if the table changes meanwhile."""
         position = len(self._endpoints)
         while position := min(position, len(self._endpoints)):
             position -= 1
             yield self._endpoints[position]
 
-    def draw(self, accepts: Callable[[Endpoint], bool], random: Random) -> Endpoint | None:
-        """Some acceptable endpoint, or None after MAX_DRAWS tries.
+    def pick_random(self, accepts: Callable[[Endpoint], bool], random: Random) -> Endpoint | None:
+        """Return a random acceptable endpoint, or None after MAX_RANDOM_PICKS tries.
 
-        It is drawn at random, so that the gateways do not all find the same one.
+        A random pick keeps the gateways from all choosing the same endpoint.
         """
-        for _ in range(MAX_DRAWS if self._endpoints else 0):
+        for _ in range(MAX_RANDOM_PICKS if self._endpoints else 0):
             if accepts(endpoint := self._endpoints[random.randrange(len(self._endpoints))]):
                 return endpoint
         return None
 
-    def draw_in_cell(self, cell: int, accepts: Callable[[Endpoint], bool], random: Random) -> Endpoint | None:
-        """Some acceptable endpoint of a cell at random; None if there is none, or cells are not indexed."""
+    def pick_random_in_cell(
+        self, cell: int, accepts: Callable[[Endpoint], bool], random: Random
+    ) -> Endpoint | None:
+        """Return a random acceptable endpoint of a cell; None if there is none, or cells are not indexed."""
         if self._names_by_cell is None:
             return None
         in_cell = [self._endpoints[self._positions[name]] for name in self._names_by_cell.get(cell, ())]
--- a/rushroad/policy/load_shedding.py
+++ b/rushroad/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Rejects requests at arrival when capacity is short, those of the lowest priority first."""
+"""Rejects requests on arrival while capacity is short, lowest priority first. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     from rushroad.policy.active_endpoints import ActiveEndpoint
     from rushroad.policy.endpoints import EndpointTable
 
-SMOOTHING = 0.2  # weight of a new request in the mean value of requests
-RESERVE = 0.5  # of the full credit; what requests of the lowest priority leave for others
+SMOOTHING = 0.2  # weight of a new request in the running mean of request values
+LOW_PRIORITY_RESERVE = 0.5  # of the full credit; requests of the lowest priority leave it to others
 
 
 class LoadShedding:
-    """Tells whether there is capacity for one more request.
+    """Decides whether there is capacity for one more request.
 
-    In small fleets that is what the concurrency limits of all endpoints leave. In large ones they come to a
-    fraction of an attempt at each endpoint and hold for the mean over time: what is allowed to be in flight
-    earns credit, in attempt-microseconds, and what is in flight spends it. So all gateways together keep the
-    limits, and a random burst at one of them is not rejected.
+    In a small fleet, the capacity is what the concurrency limits of all endpoints leave. In a large fleet,
+    the limit is a fraction of an attempt at each endpoint and applies to the mean over time: the allowed
+    attempts in flight earn credit, in attempt-microseconds, and the actual ones spend it. All gateways
+    together thus keep the limits, and a random burst at one of them is not rejected.
     """
 
     def __init__(
@@ -41,34 +41,34 @@
         self._longest_objective = max(c.latency_objective for c in settings.request_classes)
         self._in_flight = 0
         self._credit, self._credited_at = float(self._longest_objective), now
-        self._mean_value = 1e-9  # running mean of priority weight for the work
+        self._mean_value = 1e-9  # running mean of the requests' priority weight per response time
 
     @property
     def is_capacity_short(self) -> bool:
-        """True where less than half of the credit is left."""
+        """True while less than half of the full credit is left."""
         return self._credit < self._longest_objective / 2
 
     def set_credit(self, fraction: float, now: int) -> None:
-        """Set the credit to this fraction of the full one."""
+        """Set the credit to this fraction of the full credit."""
         self._credit, self._credited_at = fraction * self._longest_objective, now
 
     def priority_deficit(self, pending: PendingRequest) -> float:
-        """Return how far a request's value for its work is below the mean: from 0 to 1 (over the quota)."""
+        """Return how far a request's value is below the mean, from 0 to 1; for one over its quota, 1."""
         weight = pending.request_class.priority_weight * pending.plan.price
         value = weight / (self._latency.typical(pending.request.class_index) or self._longest_objective)
         self._mean_value += SMOOTHING * (value - self._mean_value)
         return 1.0 if pending.is_over_quota else max(0.0, 1.0 - value / self._mean_value)
 
     def has_capacity(self, endpoints: Sequence[ActiveEndpoint], now: int, deficit: float = 0.0) -> bool:
-        """Whether the endpoints have capacity for a request with this deficit of priority."""
+        """Return whether the endpoints have capacity for a request with this priority deficit."""
         if self._limiter.pooled is not None:
-            self.accrue(now)
+            self.accrue_credit(now)
             spent = self._in_flight * (self._latency.highest() or COUNTER_WAIT * self._longest_objective)
-            return self._credit > spent + RESERVE * deficit * self._longest_objective
+            return self._credit > spent + LOW_PRIORITY_RESERVE * deficit * self._longest_objective
         return self._is_below_limits(endpoints, now)
 
     def _is_below_limits(self, endpoints: Sequence[ActiveEndpoint], now: int) -> bool:
-        """Whether fewer attempts are in flight than the limits of all endpoints allow together."""
+        """Return whether fewer attempts are in flight than the limits of all endpoints together allow."""
         abandoned_since = self._limiter.abandoned_since(now)
         in_use = limit = 0.0
         for endpoint in endpoints:
@@ -77,24 +77,24 @@
             count = (
                 concurrency.count(abandoned_since) if concurrency.abandoned else len(concurrency.in_flight)
             )
-            # What an endpoint holds beyond its limit, all abandoned perhaps, takes no capacity at the others.
+            # Attempts beyond an endpoint's limit, possibly all abandoned, take no capacity from the others.
             in_use += count if count < endpoint_limit else endpoint_limit
             limit += endpoint_limit
         return limit > 0 and in_use < max(1.0, limit)
 
-    def accrue(self, now: int) -> None:
-        """Bring the credit up to now; due before each change of what it depends on."""
+    def accrue_credit(self, now: int) -> None:
+        """Add the credit earned until now; call before each change of what the rate depends on."""
         if self._limiter.pooled is not None:
             gain = self._limiter.pooled.attempts * self._table.expected_subset_size() - self._in_flight
             self._credit = min(self._longest_objective, self._credit + gain * (now - self._credited_at))
         self._credited_at = now
 
     def attempt_started(self, now: int) -> None:
-        """Count an attempt in flight."""
-        self.accrue(now)
+        """Add an attempt to those in flight."""
+        self.accrue_credit(now)
         self._in_flight += 1
 
     def attempt_ended(self, now: int) -> None:
-        """Count an attempt off."""
-        self.accrue(now)
+        """Remove an attempt from those in flight."""
+        self.accrue_credit(now)
         self._in_flight = max(0, self._in_flight - 1)
--- a/rushroad/policy/throughput.py
+++ b/rushroad/policy/throughput.py
@@ -1,4 +1,4 @@
-"""How many responses a second a warm endpoint gives, by class of endpoints."""
+"""Response rates of warm endpoints, by endpoint class. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 from rushroad.policy.durations import SECOND
 
-MEMORY = 5 * SECOND  # microseconds after which a response has faded: tens of responses
+TIME_CONSTANT = 5 * SECOND  # of the exponential decay; spans tens of responses
 
 
 class ClassThroughput:
-    """Responses from all warm endpoints of one class, and how many these are. Times are in microseconds.
+    """Decaying means of the response rate and of the number of warm endpoints of one class.
 
-    Both means fade alike: where many endpoints have just restarted, what they tell of the time before still
-    holds for each.
+    Both decay with the same time constant, so that their ratio, the rate of one warm endpoint, stays valid
+    when many endpoints restart at once.
     """
 
-    __slots__ = ("_counted_at", "_mean_warm", "_rate", "_updated_at", "_warm")
+    __slots__ = ("_counted_at", "_mean_warm_count", "_rate", "_updated_at", "_warm_count")
 
     def __init__(self, now: int) -> None:
-        self._rate, self._updated_at = 0.0, now  # responses a second
-        self._warm, self._mean_warm, self._counted_at = 0, 0.0, now
+        self._rate, self._updated_at = 0.0, now  # responses per second
+        self._warm_count, self._mean_warm_count, self._counted_at = 0, 0.0, now
 
     @property
     def is_known(self) -> bool:
@@ -29,17 +29,19 @@
 
     def record_response(self, now: int) -> None:
         """Count one response."""
-        self._rate, self._updated_at = self.rate(now) + SECOND / MEMORY, now
+        self._rate, self._updated_at = self.rate(now) + SECOND / TIME_CONSTANT, now
 
     def rate(self, now: int) -> float:
-        """Return the responses a second."""
-        return self._rate * math.exp((self._updated_at - now) / MEMORY)
-
-    def set_warm(self, warm: int, now: int) -> None:
-        """So many endpoints of the class are warm from now on."""
-        self._mean_warm = self.mean_warm(now) or warm
-        self._warm, self._counted_at = warm, now
-
-    def mean_warm(self, now: int) -> float:
-        """Return the mean number of warm endpoints over the time that the rate is of."""
-        return self._warm + (self._mean_warm - self._warm) * math.exp((self._counted_at - now) / MEMORY)
+        """Return the responses per second of all warm endpoints together."""
+        return self._rate * math.exp((self._updated_at - now) / TIME_CONSTANT)
+
+    def set_warm_count(self, warm: int, now: int) -> None:
+        """Set the number of endpoints of the class that are warm from now on."""
+        self._mean_warm_count = self.mean_warm_count(now) or warm
+        self._warm_count, self._counted_at = warm, now
+
+    def mean_warm_count(self, now: int) -> float:
+        """Return the mean number of warm endpoints over the period that the rate covers."""
+        return self._warm_count + (self._mean_warm_count - self._warm_count) * math.exp(
+            (self._counted_at - now) / TIME_CONSTANT
+        )
--- a/tests/policy/test_clock_skew.py
+++ b/tests/policy/test_clock_skew.py
@@ -39,14 +39,14 @@
     skew, start_times = ClockSkew(), [NOW - HOUR + number * SECOND for number in range(10)]
     skew.observe(update(*start_times, kind=UpdateKind.CACHED_SNAPSHOT), NOW)
     assert skew.uptime(start_times[-1], NOW) == 0
-    skew.check_plausible(start_times, NOW, WARM_UP_TIME)
+    skew.check_plausibility(start_times, NOW, WARM_UP_TIME)
     assert skew.uptime(start_times[-1], NOW) == NOW - start_times[-1]
 
 
 def test_trusted_wall_clock_is_corrected_when_a_delta_shows_it_wrong() -> None:
     skew, start_times = ClockSkew(), [NOW + number * SECOND for number in range(10)]
     skew.observe(update(*start_times, kind=UpdateKind.CACHED_SNAPSHOT), NOW + HOUR)
-    skew.check_plausible(start_times, NOW + HOUR, WARM_UP_TIME)
+    skew.check_plausibility(start_times, NOW + HOUR, WARM_UP_TIME)
     skew.observe(update(NOW + 20 * SECOND), NOW + HOUR + 20 * SECOND)
     assert skew.uptime(NOW + 20 * SECOND, NOW + HOUR + 21 * SECOND) == SECOND
 
@@ -54,6 +54,6 @@
 def test_minority_started_with_the_newest_endpoint_counts_as_warming_up() -> None:
     skew, start_times = ClockSkew(), [0] * 8 + [NOW, NOW - SECOND]
     skew.observe(update(*start_times, kind=UpdateKind.CACHED_SNAPSHOT), NOW + HOUR)
-    skew.check_plausible(start_times, NOW + HOUR, WARM_UP_TIME)
+    skew.check_plausibility(start_times, NOW + HOUR, WARM_UP_TIME)
     assert skew.uptime(NOW, NOW + HOUR) == 0
     assert skew.uptime(NOW, NOW + HOUR + WARM_UP_TIME) == WARM_UP_TIME
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -55,7 +55,7 @@
     driver = Driver()
     paused = driver.gateway.endpoints.ready[0]
     for _ in range(8):  # more than the limits of all four come to
-        paused.concurrency.abandon(driver.now, abandoned_since=0)
+        paused.concurrency.record_abandoned(driver.now, abandoned_since=0)
     assert driver.admit().endpoint != paused.entry.name
 
 
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -4,7 +4,7 @@
 
 from msgspec import structs
 
-from rushroad.policy.active_endpoints import REVIEW_PART
+from rushroad.policy.active_endpoints import REVIEW_BATCH_SIZE
 from rushroad.policy.endpoints import EndpointTable
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from rushroad.policy.subsetting import mean_replicas, replicas_of
@@ -13,7 +13,7 @@
 
 
 def test_snapshot_in_parts_removes_what_no_part_contains_only_after_the_last_part() -> None:
-    table, endpoints = EndpointTable(0, 3, index_cells=False), ready_endpoints(30)
+    table, endpoints = EndpointTable(0, 3, index_by_cell=False), ready_endpoints(30)
     table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 1, endpoints))
     # This snapshot is broken off; the next first part begins a new one.
     assert table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[:10], last=False)) == []
@@ -44,11 +44,14 @@
 
 
 def test_long_list_is_reviewed_in_parts_without_missing_an_endpoint() -> None:
-    settings, endpoints = replace(ENDPOINT_LIMITED, fleet_size=1_000), ready_endpoints(5 * REVIEW_PART + 3)
+    settings, endpoints = (
+        replace(ENDPOINT_LIMITED, fleet_size=1_000),
+        ready_endpoints(5 * REVIEW_BATCH_SIZE + 3),
+    )
     driver = Driver(settings, endpoint_count=0)
     reviewed = [0]  # endpoints, in each step of the gateway
     active = driver.gateway.endpoints
-    update, review_next_part = active.update, active.review_next_part
+    update, review_next_batch = active.update, active.review_next_batch
 
     def count_update(entry: Endpoint, now: int) -> None:
         reviewed[-1] += 1
@@ -56,10 +59,10 @@
 
     def count_step(now: int) -> bool:
         reviewed.append(0)
-        return review_next_part(now)
+        return review_next_batch(now)
 
     active.update = count_update  # type: ignore[method-assign]
-    active.review_next_part = count_step  # type: ignore[method-assign]
+    active.review_next_batch = count_step  # type: ignore[method-assign]
     for start in range(0, len(endpoints), 250):
         reviewed.append(0)
         end = start + 250
@@ -70,7 +73,7 @@
     driver.handle(EndpointUpdate(UpdateKind.DELTA, 2, (removed,)))  # while the review is in progress
     driver.wait(1 * SECOND)
     mean = mean_replicas(1_000, len(endpoints))
-    assert max(reviewed) <= REVIEW_PART + 250
+    assert max(reviewed) <= REVIEW_BATCH_SIZE + 250
     assert usable_names(driver.gateway) == {
         endpoint.name
         for endpoint in endpoints
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -14,9 +14,9 @@
 from rushroad.policy.subsetting import (
     MAX_SUBSET_SIZE,
     REPLICAS_STEP,
-    draw_replicas,
     mean_replicas,
     replicas_of,
+    select_replicas,
 )
 from tests.support.endpoint_lists import ENDPOINT_LIMITED, ready_endpoints, usable_names
 from tests.support.gateway_driver import IDEMPOTENCY_KEY, SECOND, SETTINGS, START, Driver
@@ -81,7 +81,7 @@
 
 def test_fleet_that_grows_by_one_gateway_moves_few_endpoints() -> None:
     moved = sum(
-        len(set(draw_replicas(endpoint.name, 201, 8)) - set(draw_replicas(endpoint.name, 200, 8)))
+        len(set(select_replicas(endpoint.name, 201, 8)) - set(select_replicas(endpoint.name, 200, 8)))
         for endpoint in ready_endpoints(1_000)
     )
     assert moved < 3 * 8 * 1_000 / 201
--- a/tests/policy/test_throughput.py
+++ b/tests/policy/test_throughput.py
@@ -17,16 +17,16 @@
 
 def test_rate_and_mean_of_warm_endpoints_fade_alike() -> None:
     throughput = ClassThroughput(0)
-    throughput.set_warm(10, 0)
+    throughput.set_warm_count(10, 0)
     for response in range(1, 601):
         throughput.record_response(response * 50 * MS)
-    throughput.set_warm(0, 30 * SECOND)  # all restart, and respond no more
-    before = throughput.rate(30 * SECOND) / throughput.mean_warm(30 * SECOND)
-    after = throughput.rate(33 * SECOND) / throughput.mean_warm(33 * SECOND)
+    throughput.set_warm_count(0, 30 * SECOND)  # all restart, and respond no more
+    before = throughput.rate(30 * SECOND) / throughput.mean_warm_count(30 * SECOND)
+    after = throughput.rate(33 * SECOND) / throughput.mean_warm_count(33 * SECOND)
     assert after == pytest.approx(before)
 
 
 def test_first_count_of_warm_endpoints_holds_at_once() -> None:
     throughput = ClassThroughput(0)
-    throughput.set_warm(8, 5 * SECOND)
-    assert throughput.mean_warm(5 * SECOND) == 8
+    throughput.set_warm_count(8, 5 * SECOND)
+    assert throughput.mean_warm_count(5 * SECOND) == 8
