--- a/tests/policy/test_active_endpoints.py
+++ b/tests/policy/test_active_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that a gateway forwards to."""
+"""The endpoints that a gateway may forward to."""
 
 from dataclasses import replace
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("endpoint_count", [84, 100, 200])
-def test_gateways_of_a_large_fleet_have_eight_endpoints_in_the_mean(endpoint_count: int) -> None:
+def test_mean_subset_size_in_a_large_fleet_is_the_minimum_size(endpoint_count: int) -> None:
     sizes = []
     for index in range(200):
         driver = Driver(replace(LARGE_FLEET_WITHOUT_COUNTER, gateway_index=index), endpoint_count=0)
--- a/tests/policy/test_clock_skew.py
+++ b/tests/policy/test_clock_skew.py
@@ -1,4 +1,4 @@
-"""Uptimes of endpoints must not be taken for longer than they are, whatever this gateway's clock says."""
+"""Estimated uptimes of endpoints are never longer than the true ones, whatever the gateway's clock says."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 def update(*start_times: int, kind: UpdateKind = UpdateKind.DELTA) -> EndpointUpdate:
-    """An update that lists one ready endpoint for each start time."""
+    """Return an update that lists one ready endpoint per start time."""
     endpoints = (
         Endpoint(f"s-{started_at}", EndpointState.READY, started_at=started_at) for started_at in start_times
     )
@@ -31,11 +31,11 @@
     skew = ClockSkew()
     for reported_at, started_at in ((0, -40), (2, 0), (9, 8), (30, 20)):
         skew.observe(update(NOW + started_at * SECOND), NOW + reported_at * SECOND + clock_step)
-    # The smallest reporting delay was a second.
+    # The smallest reporting delay was 1 s.
     assert skew.uptime(NOW, NOW + 30 * SECOND + clock_step) == 29 * SECOND
 
 
-def test_wall_clock_is_trusted_when_all_endpoints_started_together_long_ago() -> None:
+def test_wall_clock_is_used_when_all_endpoints_started_together_long_ago() -> None:
     skew, start_times = ClockSkew(), [NOW - HOUR + number * SECOND for number in range(10)]
     skew.observe(update(*start_times, kind=UpdateKind.CACHED_SNAPSHOT), NOW)
     assert skew.uptime(start_times[-1], NOW) == 0
@@ -43,7 +43,7 @@
     assert skew.uptime(start_times[-1], NOW) == NOW - start_times[-1]
 
 
-def test_trusted_wall_clock_is_corrected_when_a_delta_shows_it_wrong() -> None:
+def test_wall_clock_in_use_is_corrected_when_a_delta_proves_it_wrong() -> None:
     skew, start_times = ClockSkew(), [NOW + number * SECOND for number in range(10)]
     skew.observe(update(*start_times, kind=UpdateKind.CACHED_SNAPSHOT), NOW + HOUR)
     skew.check_plausibility(start_times, NOW + HOUR, WARM_UP_TIME)
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -21,19 +21,19 @@
 
 
 def test_overloaded_endpoint_gets_fewer_attempts() -> None:
-    """Attempts abandoned go on waiting at an endpoint that does not respond: they count as in flight."""
+    """Abandoned attempts still wait at an endpoint that does not respond, so they count as in flight."""
     driver = Driver(replace(SETTINGS, limits=Limits(max_attempts=1)), endpoint_count=2)
-    stuck = ready_endpoint(1).name
+    unresponsive = ready_endpoint(1).name
     for n in range(200):
         driver.request(tenant=n)
         driver.counter_reply(1.0) if driver.counter_calls else None
         driver.wait(50 * MS)
         for tracked in list(driver.requests.values()):
             for attempt in sorted(tracked.in_flight):
-                if tracked.attempts[attempt].endpoint != stuck:
+                if tracked.attempts[attempt].endpoint != unresponsive:
                     driver.outcome(tracked.request.id, Result.OK, attempt)
     attempts = [a.endpoint for a in driver.actions if isinstance(a, StartAttempt)]
-    assert attempts.count(stuck) < 15 < 150 < len(attempts)
+    assert attempts.count(unresponsive) < 15 < 150 < len(attempts)
 
 
 def test_abandoned_attempts_at_an_endpoint_without_responses_are_forgotten() -> None:
@@ -51,17 +51,17 @@
 
 
 def test_abandoned_attempts_at_one_endpoint_take_no_capacity_at_others() -> None:
-    # Endpoints that pause hold what was abandoned; those that answer must not go idle for it.
+    # Paused endpoints still hold abandoned attempts; this must not leave responding endpoints idle.
     driver = Driver()
     paused = driver.gateway.endpoints.ready[0]
-    for _ in range(8):  # more than the limits of all four come to
+    for _ in range(8):  # more than the sum of the limits of all four endpoints
         paused.concurrency.record_abandoned(driver.now, abandoned_since=0)
     assert driver.admit().endpoint != paused.entry.name
 
 
 def test_late_responses_everywhere_lower_the_pooled_limit_of_each_gateway() -> None:
     driver = Driver(LARGE_FLEET, endpoint_count=40)
-    sent = []
+    started = []  # attempts in each second
     for second in range(40):
         before = action_names(driver.actions).count("StartAttempt")
         for tenant in range(4):
@@ -71,6 +71,6 @@
         driver.wait(900 * MS)  # nine tenths of the latency objective
         driver.finish_all()
         driver.wait(100 * MS)
-        sent.append(action_names(driver.actions).count("StartAttempt") - before)
-    assert sum(sent[-10:]) < sum(sent[:10]) / 2
-    assert sum(sent[-10:]) > 0
+        started.append(action_names(driver.actions).count("StartAttempt") - before)
+    assert sum(started[-10:]) < sum(started[:10]) / 2
+    assert sum(started[-10:]) > 0
--- a/tests/policy/test_endpoint_updates.py
+++ b/tests/policy/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list, cached lists and failed polls."""
+"""Endpoint updates, cached snapshots and failed polls."""
 
 from dataclasses import replace
 
@@ -28,7 +28,7 @@
     assert action_names(driver.actions) == ["WatchEndpoints"]
     driver.handle(EndpointUpdate(UpdateKind.FAILED, 2, ()))
     assert action_names(driver.wait(2 * SECOND)) == ["WatchEndpoints"]
-    assert driver.admit().endpoint in driver.endpoints  # the list before stays
+    assert driver.admit().endpoint in driver.endpoints  # the previous list stays in use
 
 
 def test_empty_first_list_does_not_pool_the_limits() -> None:
@@ -38,7 +38,7 @@
     assert driver.gateway.limiter.pooled is None
 
 
-def test_restarted_gateway_of_a_large_fleet_forwards_at_once_by_its_cached_list() -> None:
+def test_restarted_gateway_of_a_large_fleet_forwards_at_once_with_its_cached_snapshot() -> None:
     driver = Driver(LARGE_FLEET, endpoint_count=0)
     driver.update_endpoints(*ready_endpoints(84), kind=UpdateKind.CACHED_SNAPSHOT)
     for cls in (IDEMPOTENT, IDEMPOTENCY_KEY, NOT_IDEMPOTENT):
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint table: snapshots in parts, deltas, long lists, removals."""
+"""The endpoint table: multi-part snapshots, deltas, long lists and removals."""
 
 from dataclasses import replace
 
@@ -12,10 +12,10 @@
 from tests.support.gateway_driver import MS, SECOND, Driver
 
 
-def test_snapshot_in_parts_removes_what_no_part_contains_only_after_the_last_part() -> None:
+def test_multi_part_snapshot_removes_missing_endpoints_only_after_its_last_part() -> None:
     table, endpoints = EndpointTable(0, 3, index_by_cell=False), ready_endpoints(30)
     table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 1, endpoints))
-    # This snapshot is broken off; the next first part begins a new one.
+    # This snapshot stays incomplete; the next first part starts a new one.
     assert table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[:10], last=False)) == []
     table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[10:20], last=False))
     assert table.apply(EndpointUpdate(UpdateKind.SNAPSHOT, 2, endpoints[:15], last=False)) == []
@@ -43,13 +43,13 @@
         driver.wait(10 * MS)
 
 
-def test_long_list_is_reviewed_in_parts_without_missing_an_endpoint() -> None:
+def test_long_list_is_reviewed_in_batches_without_missing_an_endpoint() -> None:
     settings, endpoints = (
         replace(ENDPOINT_LIMITED, fleet_size=1_000),
         ready_endpoints(5 * REVIEW_BATCH_SIZE + 3),
     )
     driver = Driver(settings, endpoint_count=0)
-    reviewed = [0]  # endpoints, in each step of the gateway
+    reviewed = [0]  # number of endpoints in each step of the gateway
     active = driver.gateway.endpoints
     update, review_next_batch = active.update, active.review_next_batch
 
--- a/tests/policy/test_latency.py
+++ b/tests/policy/test_latency.py
@@ -11,7 +11,7 @@
     return AttemptOutcome(1, 0, "10.0.0.1:80", result, elapsed, final=True)
 
 
-def test_first_response_sets_the_typical_latency_of_its_class_alone() -> None:
+def test_first_response_sets_the_typical_latency_of_its_class_only() -> None:
     latency = LatencyTracker(SETTINGS)
     latency.record_response(40 * MS, 1)
     assert [latency.typical(index) for index in range(3)] == [0.0, 40 * MS, 0.0]
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("result", [Result.OK, Result.TIMEOUT, Result.CANCELLED])
-def test_time_of_an_attempt_is_relative_to_its_class(result: Result) -> None:
+def test_time_of_an_attempt_is_relative_to_its_request_class(result: Result) -> None:
     latency = LatencyTracker(SETTINGS)
     latency.record_response(50 * MS, 0)
     assert latency.relative(outcome(result, 150 * MS), 0) == pytest.approx(3.0)
@@ -35,13 +35,13 @@
 @pytest.mark.parametrize(
     "result", [Result.ERROR, Result.OVERLOADED, Result.RESET, Result.CONNECT_FAILED, Result.NOT_FORWARDED]
 )
-def test_attempt_without_work_tells_nothing_of_latency(result: Result) -> None:
+def test_attempt_without_a_measured_execution_has_no_relative_latency(result: Result) -> None:
     latency = LatencyTracker(SETTINGS)
     latency.record_response(50 * MS, 0)
     assert latency.relative(outcome(result, 150 * MS), 0) is None
 
 
-def test_first_samples_of_an_endpoint_count_evenly() -> None:
+def test_first_samples_of_an_endpoint_have_equal_weight() -> None:
     relative = RelativeLatency()
     for sample in (2.0, 4.0, 6.0):
         relative.record(sample)
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint."""
+"""The choice of the endpoint for an attempt."""
 
 from collections import Counter
 from dataclasses import replace
@@ -18,35 +18,35 @@
 
 
 def test_gateways_without_load_reports_do_not_all_choose_the_same_endpoint() -> None:
-    picked: Counter[str] = Counter()
+    chosen: Counter[str] = Counter()
     for index in range(300):
-        picked[
+        chosen[
             Driver(
                 replace(LARGE_FLEET_WITHOUT_COUNTER, gateway_index=index % 200), endpoint_count=20, seed=index
             )
             .admit()
             .endpoint
         ] += 1
-    assert len(picked) == 20
-    assert max(picked.values()) < 3 * 300 / 20
+    assert len(chosen) == 20
+    assert max(chosen.values()) < 3 * 300 / 20
 
 
 @pytest.mark.parametrize(
-    ("gateways", "endpoint_count", "most"), [(200, 84, 20), (200, 200, 20), (200, 4_000, 80)]
+    ("gateways", "endpoint_count", "max_considered"), [(200, 84, 20), (200, 200, 20), (200, 4_000, 80)]
 )
 def test_choice_considers_a_bounded_subset_however_many_endpoints_there_are(
-    gateways: int, endpoint_count: int, most: int
+    gateways: int, endpoint_count: int, max_considered: int
 ) -> None:
     driver = Driver(replace(LARGE_FLEET_WITHOUT_COUNTER, fleet_size=gateways), endpoint_count=0)
     driver.update_endpoints(*ready_endpoints(endpoint_count), kind=UpdateKind.CACHED_SNAPSHOT)
-    driver.wait(1 * SECOND)  # a long list is reviewed in parts
-    seen: list[ActiveEndpoint] = []
+    driver.wait(1 * SECOND)  # a long list is reviewed in batches
+    considered: list[ActiveEndpoint] = []
     wait = driver.gateway.load_balancer.expected_wait
 
-    def noted(endpoint: ActiveEndpoint, now: int) -> float:
-        seen.append(endpoint)
+    def record_call(endpoint: ActiveEndpoint, now: int) -> float:
+        considered.append(endpoint)
         return wait(endpoint, now)
 
-    driver.gateway.load_balancer.expected_wait = noted  # type: ignore[method-assign]
+    driver.gateway.load_balancer.expected_wait = record_call  # type: ignore[method-assign]
     driver.admit()
-    assert 0 < len(seen) <= most < 1.5 * MAX_SUBSET_SIZE
+    assert 0 < len(considered) <= max_considered < 1.5 * MAX_SUBSET_SIZE
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries, hedging and the timeouts of attempts."""
+"""Retries, hedged requests and attempt timeouts."""
 
 from dataclasses import replace
 
@@ -54,30 +54,30 @@
 
 
 def test_keyed_request_is_not_retried_after_its_deduplication_window() -> None:
-    forgetful = replace(SETTINGS.request_classes[IDEMPOTENCY_KEY], deduplication_window=100 * MS)
-    driver = Driver(replace(SETTINGS, request_classes=(SETTINGS.request_classes[0], forgetful)))
+    short_window = replace(SETTINGS.request_classes[IDEMPOTENCY_KEY], deduplication_window=100 * MS)
+    driver = Driver(replace(SETTINGS, request_classes=(SETTINGS.request_classes[0], short_window)))
     attempt = driver.admit(class_index=IDEMPOTENCY_KEY)
     driver.now += 150 * MS
     assert action_names(driver.outcome(attempt.request_id, Result.ERROR)) in (["Reject"], ["Fail"])
 
 
 def test_keyed_request_is_not_retried_where_its_connection_may_outlast_the_window() -> None:
-    # The key may be forgotten by the time a new connection is up and the repeat goes out.
+    # The key may have expired by the time a new connection is established and the retry is sent.
     keyed = replace(
         SETTINGS.request_classes[IDEMPOTENCY_KEY], latency_objective=3 * SECOND, deduplication_window=SECOND
     )
     limits = replace(SETTINGS.limits, connect_timeout=250 * MS)
-    for passed, then in ((740 * MS, ["StartAttempt"]), (760 * MS, ["Fail"])):
+    for elapsed, expected in ((740 * MS, ["StartAttempt"]), (760 * MS, ["Fail"])):
         driver = Driver(
             replace(SETTINGS, request_classes=(SETTINGS.request_classes[0], keyed), limits=limits)
         )
         attempt = driver.admit(class_index=IDEMPOTENCY_KEY)
-        driver.now += passed
-        assert action_names(driver.outcome(attempt.request_id, Result.ERROR)) == then
+        driver.now += elapsed
+        assert action_names(driver.outcome(attempt.request_id, Result.ERROR)) == expected
 
 
 def test_keyed_request_is_retried_only_within_its_cell() -> None:
-    celled = RequestClass(
+    cell_scoped = RequestClass(
         Idempotency.IDEMPOTENCY_KEY,
         latency_objective=SECOND,
         deadline=3 * SECOND,
@@ -85,14 +85,14 @@
         deduplication_scope=DeduplicationScope.CELL,
         deduplication_window=SECOND,
     )
-    driver = Driver(replace(SETTINGS, request_classes=(celled,)), endpoint_count=0)
+    driver = Driver(replace(SETTINGS, request_classes=(cell_scoped,)), endpoint_count=0)
     driver.update_endpoints(
         *(ready_endpoint(n, cell=n % 2) for n in range(1, 7)), kind=UpdateKind.CACHED_SNAPSHOT
     )
     attempt = driver.admit(class_index=0)
     driver.outcome(attempt.request_id, Result.ERROR)
-    again = next_attempt_after(attempt, driver)
-    assert driver.endpoints[again.endpoint].cell == driver.endpoints[attempt.endpoint].cell
+    retry = next_attempt_after(attempt, driver)
+    assert driver.endpoints[retry.endpoint].cell == driver.endpoints[attempt.endpoint].cell
 
 
 def test_retries_stop_when_the_budget_is_spent() -> None:
@@ -107,15 +107,15 @@
     assert attempts < 60 + 10 + 60 * 0.2
 
 
-def test_attempt_at_a_silent_endpoint_is_hedged_where_that_is_allowed() -> None:
-    # It may only be slow, and what runs there goes on in any case. A cancel ends the connection and makes the
-    # gateway take what it gave up for work that still waits there.
+def test_attempt_at_a_silent_endpoint_is_hedged_where_hedging_is_allowed() -> None:
+    # The endpoint may only be slow, and it continues the execution in any case. Cancelling would close the
+    # connection, and the gateway would count the cancelled attempt as still waiting at the endpoint.
     driver = with_known_latency(Driver(HEDGING))
     attempt = driver.admit()
     assert action_names(driver.wait(600 * MS)) == ["StartAttempt"]
     second = next_attempt_after(attempt, driver)
     assert (second.request_id, second.endpoint != attempt.endpoint) == (attempt.request_id, True)
-    assert action_names(driver.wait(390 * MS)) == []  # the second has the rest of the time
+    assert action_names(driver.wait(390 * MS)) == []  # the second attempt gets the remaining time
     assert action_names(driver.outcome(attempt.request_id, Result.OK, 0)) == []
     assert action_names(driver.outcome(attempt.request_id, Result.OK, 1)) == []
     assert driver.open_requests(TENANT) == 0
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Subsets of the endpoint list: even, stable, the same after a restart, and extended if unhealthy."""
+"""Subsets of the endpoint list: balanced, stable, unchanged by a restart, and extended if unhealthy."""
 
 from collections import Counter
 from dataclasses import replace
@@ -33,7 +33,7 @@
         (4_900, 88_000, 3.125, (25, 100), (0.6, 1.7)),
     ],
 )
-def test_every_endpoint_has_as_many_replicas_and_about_the_same_load(
+def test_endpoints_have_equally_many_replicas_and_similar_load(
     gateways: int,
     endpoints: int,
     mean: float,
@@ -65,7 +65,7 @@
     assert all(0.75 < after / before < 1.34 for before, after in pairwise(sizes))
 
 
-def test_step_of_the_mean_adds_replicas_to_few_endpoints_and_takes_none_away() -> None:
+def test_step_of_the_mean_adds_replicas_to_few_endpoints_and_removes_none() -> None:
     endpoints = ready_endpoints(2_000)
     before = mean_replicas(400, 2_000)
     fewer = next(count for count in range(1_999, 0, -1) if mean_replicas(400, count) != before)
@@ -79,7 +79,7 @@
     assert sum(new != old for old, new in replicas) < 1.3 * REPLICAS_STEP * len(endpoints)
 
 
-def test_fleet_that_grows_by_one_gateway_moves_few_endpoints() -> None:
+def test_adding_a_gateway_to_the_fleet_moves_few_endpoints() -> None:
     moved = sum(
         len(set(select_replicas(endpoint.name, 201, 8)) - set(select_replicas(endpoint.name, 200, 8)))
         for endpoint in ready_endpoints(1_000)
@@ -90,7 +90,7 @@
 # --- a gateway's subset ---------------------------------------------------------------------------------
 
 
-def test_removed_endpoint_changes_only_the_subsets_that_held_it() -> None:
+def test_removed_endpoint_changes_only_the_subsets_that_contained_it() -> None:
     endpoints = ready_endpoints(100)
     removed = endpoints[7]
     replicas = [set(replicas_of(entry.name, 200, mean_replicas(200, 100))) for entry in endpoints]
@@ -104,7 +104,7 @@
         }
         delta = (structs.replace(removed, state=EndpointState.REMOVED),)
         gateway.handle(START, EndpointUpdate(UpdateKind.DELTA, 2, delta))
-        # The 99 that stay have one replica more.
+        # The 99 remaining endpoints have one more replica each.
         kept_subsets += subset - {removed.name} <= usable_names(gateway)
         changed_subsets += removed.name in subset
     assert changed_subsets == 16
@@ -119,7 +119,7 @@
     assert usable_names(before) == usable_names(after) != set()
 
 
-def test_endpoint_outside_the_subset_has_no_state_but_its_entry() -> None:
+def test_endpoint_outside_the_subset_has_no_state_besides_its_entry() -> None:
     driver = Driver(ENDPOINT_LIMITED, endpoint_count=0)
     driver.update_endpoints(*ready_endpoints(400), kind=UpdateKind.CACHED_SNAPSHOT)
     tracked = len(driver.gateway.endpoints)
@@ -128,11 +128,11 @@
     assert len(driver.gateway.endpoints) == tracked < 40
 
 
-# --- endpoints borrowed from outside the subset ---------------------------------------------------------
+# --- fallback endpoints ---------------------------------------------------------------------------------
 
 
-def test_draining_subset_is_extended_by_each_gateway_with_other_endpoints() -> None:
-    endpoints, borrowed = ready_endpoints(100), Counter[str]()
+def test_gateways_with_draining_subsets_add_different_fallback_endpoints() -> None:
+    endpoints, fallbacks = ready_endpoints(100), Counter[str]()
     for index in range(40):
         driver = Driver(replace(ENDPOINT_LIMITED, gateway_index=index), endpoint_count=0, seed=index)
         driver.update_endpoints(*endpoints, kind=UpdateKind.CACHED_SNAPSHOT)
@@ -148,12 +148,12 @@
         for tenant in range(8):
             driver.admit(tenant=tenant)
             driver.finish_all()
-        borrowed.update(usable_names(driver.gateway) - subset)
-    assert len(borrowed) > 60
-    assert max(borrowed.values()) <= 8
+        fallbacks.update(usable_names(driver.gateway) - subset)
+    assert len(fallbacks) > 60
+    assert max(fallbacks.values()) <= 8
 
 
-def test_borrowed_endpoints_are_warm_and_given_back_when_the_subset_is_healthy() -> None:
+def test_fallback_endpoints_are_warm_and_are_removed_when_the_subset_is_healthy() -> None:
     driver, endpoints = Driver(ENDPOINT_LIMITED, endpoint_count=0), ready_endpoints(100)
     driver.update_endpoints(*endpoints, kind=UpdateKind.CACHED_SNAPSHOT)
     subset = usable_names(driver.gateway)
@@ -166,9 +166,9 @@
     for tenant in range(8):
         driver.admit(tenant=tenant)
         driver.finish_all()
-    borrowed = usable_names(driver.gateway) - subset
-    assert borrowed
-    assert not borrowed & {entry.name for entry in warming_up}
+    fallbacks = usable_names(driver.gateway) - subset
+    assert fallbacks
+    assert not fallbacks & {entry.name for entry in warming_up}
     driver.wait(SETTINGS.safety.warm_up_time + 2 * SECOND)
     driver.admit(tenant=100)
     assert usable_names(driver.gateway) == subset
@@ -185,7 +185,7 @@
     driver.update_endpoints(*endpoints, kind=UpdateKind.CACHED_SNAPSHOT)
     driver.wait(1 * SECOND)
     cells = {endpoint.name: endpoint.cell for endpoint in endpoints}
-    for tenant in range(8):  # as many as the retry budget bears
+    for tenant in range(8):  # as many as the retry budget allows
         first = driver.admit(class_index=IDEMPOTENCY_KEY, tenant=tenant)
         actions = driver.outcome(first.request_id, Result.ERROR)
         (retry,) = (action for action in actions if isinstance(action, StartAttempt))
