--- a/rushroad/policy/concurrency_limit.py
+++ b/rushroad/policy/concurrency_limit.py
@@ -17,8 +17,11 @@
 INITIAL_LIMIT = 4.0  # attempts in flight at an endpoint from all gateways together: a few per core
 INCREASE_STEP = 1.0  # attempts, from all gateways together, per as many timely responses as the limit
 DECREASE_FACTOR = 0.6  # on the limit, after a late response
-LATE_RESPONSE_FRACTION = 0.3  # of the latency objective; slower responses show too many attempts
-ABANDONED_RETENTION_FACTOR = 2.0  # on the longest latency objective; then an abandoned attempt has left
+LATE_RESPONSE_FRACTION = (
+    0.3  # of the latency objective; slower responses show too many attempts at the endpoint
+)
+# After this many times the longest latency objective, an abandoned attempt has left the endpoint.
+ABANDONED_RETENTION_FACTOR = 2.0
 
 AttemptKey: TypeAlias = tuple[int, int]  # request ID and attempt number
 
--- a/rushroad/policy/endpoint_updates.py
+++ b/rushroad/policy/endpoint_updates.py
@@ -70,8 +70,8 @@
                 self._endpoints.update(entry, now)
         self.refresh(now)
         if update.last:
-            starts = [endpoint.entry.started_at for endpoint in self._endpoints.ready]
-            self._clock_skew.check_plausibility(starts, now, self._settings.safety.warm_up_time)
+            start_times = [endpoint.entry.started_at for endpoint in self._endpoints.ready]
+            self._clock_skew.check_plausibility(start_times, now, self._settings.safety.warm_up_time)
 
     def _schedule_watch_retry(self) -> None:
         """Retry well within the poll interval, after a random delay: all gateways' calls may have failed."""
--- a/rushroad/policy/subsetting.py
+++ b/rushroad/policy/subsetting.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-MIN_SUBSET_SIZE = 8  # endpoints per gateway, if there are as many; fewer may all be unhealthy together
+MIN_SUBSET_SIZE = 8  # endpoints per gateway, if there are as many; fewer are too easily all unhealthy
 MAX_SUBSET_SIZE = 56  # endpoints per gateway, unless MIN_REPLICAS needs more; a choice examines them all
 MIN_REPLICAS = 3  # gateways per endpoint, so that it still gets requests with two of them down
 SOFT_MAX_REPLICAS = 8  # gateways per endpoint that cost it little; small fleets have no subsets
@@ -41,7 +41,7 @@
 
 
 def select_replicas(name: str, gateways: int, count: int) -> list[int]:
-    """Return the indexes of `count` gateways for an endpoint; `count` is at most `gateways`.
+    """Return the indexes of `count` gateways for an endpoint, in selection order; `count` <= `gateways`.
 
     A higher count only appends further indexes.
     """
