--- a/rushroad/proxy/client_command.py
+++ b/rushroad/proxy/client_command.py
@@ -79,7 +79,7 @@
 
     __slots__ = (
         "answer",
-        "arrived_at",
+        "arrived_at_s",
         "class_index",
         "connection",
         "entry_points",
@@ -94,9 +94,11 @@
         "words",
     )
 
-    def __init__(self, connection: ClientConnection, arrived_at: float) -> None:
+    def __init__(self, connection: ClientConnection, arrived_at_s: float) -> None:
         self.connection = connection
-        self.arrived_at = arrived_at  # when its last byte arrived, at the latest; seconds of the loop's clock
+        self.arrived_at_s = (
+            arrived_at_s  # when its last byte arrived, at the latest; seconds of the loop's clock
+        )
         self.answer: bytes | None = None
         self.request_id = 0  # the engine's, while it owes the answer; else 0
         self.words: list[bytes] = []
@@ -134,9 +136,9 @@
         """Return whether its client has closed; the engine is then told of all requests on the connection."""
         return self.connection.poll_disconnect()
 
-    def forwarded_command(self, time_remaining: int) -> bytes:
-        """Return the command for a rate server; `time_remaining`, in microseconds, replaces the client's."""
-        deadline = b"d=%d" % max(1, time_remaining // 1_000)
+    def forwarded_command(self, time_remaining_us: int) -> bytes:
+        """Return the command for a rate server with the time remaining in place of the client's."""
+        deadline = b"d=%d" % max(1, time_remaining_us // 1_000)
         items = self.words[3].split(b",")
         options = b",".join([deadline if item.startswith(b"d=") else item for item in items])
         return resp.pack([*self.words[:3], options, *self.words[4:]])
@@ -145,9 +147,11 @@
         """Answer with a rate server's value."""
         self._answer(b"$%d\r\n%b\r\n" % (len(value), value))
 
-    def reject(self, retry_after: int) -> None:
+    def reject(self, retry_after_us: int) -> None:
         """Answer that it is rejected; a client may retry after so many microseconds, where this is not 0."""
-        self._answer(b"-BUSY %d\r\n" % math.ceil(retry_after / 1_000) if retry_after > 0 else b"-BUSY\r\n")
+        self._answer(
+            b"-BUSY %d\r\n" % math.ceil(retry_after_us / 1_000) if retry_after_us > 0 else b"-BUSY\r\n"
+        )
 
     def fail(self) -> None:
         """Answer that it failed."""
--- a/rushroad/proxy/clock.py
+++ b/rushroad/proxy/clock.py
@@ -14,8 +14,8 @@
     a system clock that is set anew must not move it.
     """
 
-    offset: int = field(default_factory=lambda: time.time_ns() - time.monotonic_ns())  # nanoseconds
+    offset_ns: int = field(default_factory=lambda: time.time_ns() - time.monotonic_ns())  # nanoseconds
 
-    def now(self) -> int:
+    def now_us(self) -> int:
         """Return the time now."""
-        return (self.offset + time.monotonic_ns()) // 1_000
+        return (self.offset_ns + time.monotonic_ns()) // 1_000
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -36,8 +36,8 @@
 
 __all__ = ["Attempt", "Backend", "Counter", "Engine"]
 
-NETWORK_ALLOWANCE = 10_000  # microseconds of a client's time kept back for the network and for loop lag
-DEADLINE_GRACE = 30_000  # microseconds after the policy's deadline in which the policy may still answer
+NETWORK_ALLOWANCE_US = 10_000  # microseconds of a client's time kept back for the network and for loop lag
+DEADLINE_GRACE_US = 30_000  # microseconds after the policy's deadline in which the policy may still answer
 
 AttemptKey: TypeAlias = tuple[int, int]  # id of the request, number of the attempt
 
@@ -71,7 +71,7 @@
         self.counter: Counter
         self._settings = settings
         self._loop = loop
-        self._policy = Gateway(settings, seed, self.clock.now())
+        self._policy = Gateway(settings, seed, self.clock.now_us())
         self._request_ids = itertools.count(1)
         self._requests: dict[int, InFlightRequest] = {}  # by id, until the policy knows of their end
         self._attempts: dict[AttemptKey, Attempt] = {}  # those in flight
@@ -89,16 +89,16 @@
         self._call_ids.add(call.id)
         request_id = next(self._request_ids)
         # A client does not wait longer than the deadline of the class, whatever it says.
-        class_deadline = self._settings.request_classes[call.class_index].deadline
-        timeout = min(call.time_remaining_ms * 1_000, class_deadline)
-        waited = max(0, int((time.monotonic() - call.arrived_at) * 1e6))
-        time_remaining = max(0, timeout - NETWORK_ALLOWANCE - waited)
+        class_deadline_us = self._settings.request_classes[call.class_index].deadline
+        timeout = min(call.time_remaining_ms * 1_000, class_deadline_us)
+        waited_us = max(0, int((time.monotonic() - call.arrived_at_s) * 1e6))
+        time_remaining = max(0, timeout - NETWORK_ALLOWANCE_US - waited_us)
         timer = self._loop.call_later(
-            (time_remaining + DEADLINE_GRACE) / 1e6, self._deadline_passed, request_id
+            (time_remaining + DEADLINE_GRACE_US) / 1e6, self._deadline_passed, request_id
         )
-        self._requests[request_id] = InFlightRequest(call, self.clock.now() + time_remaining, timer)
-        extras = (call.units, time_remaining, call.entry_points, call.first_entry, call.is_retry)
-        self.post(Request(request_id, call.class_index, call.plan_index, call.tenant, *extras))
+        self._requests[request_id] = InFlightRequest(call, self.clock.now_us() + time_remaining, timer)
+        remaining_fields = (call.units, time_remaining, call.entry_points, call.first_entry, call.is_retry)
+        self.post(Request(request_id, call.class_index, call.plan_index, call.tenant, *remaining_fields))
         return request_id
 
     def client_disconnected(self, request_id: int) -> None:
@@ -129,17 +129,19 @@
             return
         attempt.finished = True
         self._attempts.pop((attempt.request_id, attempt.number), None)
-        attempt.in_flight.attempts_in_flight -= 1
+        attempt.in_flight_request.attempts_in_flight -= 1
         first_response = False
         if result is Result.OK and (request := self._finish(attempt.request_id)) is not None:
             first_response = True
             request.call.succeed(value)
-        self._release_call_id(attempt.in_flight)
-        elapsed = self.clock.now() - attempt.started_at
-        final = attempt.in_flight.finished
+        self._release_call_id(attempt.in_flight_request)
+        elapsed_us = self.clock.now_us() - attempt.started_at_us
+        final = attempt.in_flight_request.finished
         units = actual_units if first_response else None
         ids = (attempt.request_id, attempt.number, attempt.endpoint)
-        self.post(AttemptOutcome(*ids, result, elapsed, final, actual_units=units, load_report=load_report))
+        self.post(
+            AttemptOutcome(*ids, result, elapsed_us, final, actual_units=units, load_report=load_report)
+        )
 
     def answer_all(self) -> None:
         """Answer all requests in flight now, as the process ends: rejected where nothing was forwarded."""
@@ -162,17 +164,17 @@
         self._scheduled = False
         for queue in (self._endpoint_updates, self._events):
             for _ in range(len(queue)):
-                self._process(queue.popleft())
+                self._process_event(queue.popleft())
 
-    def _process(self, event: Event) -> None:
+    def _process_event(self, event: Event) -> None:
         try:
-            actions = self._policy.handle(self.clock.now(), event)
+            actions = self._policy.handle(self.clock.now_us(), event)
         except Exception:  # noqa: BLE001 - one request's error must not end the process
             log(f"the policy failed on {type(event).__name__}; its request fails: {traceback.format_exc()}")
             self._fail_request_of(event)
             actions = []
         for action in actions:
-            self._carry_out(action)
+            self._execute(action)
         if isinstance(event, ClientDisconnected) or (isinstance(event, AttemptOutcome) and event.final):
             self._requests.pop(event.request_id, None)
 
@@ -184,7 +186,7 @@
 
     # --- actions ------------------------------------------------------------------------------------------
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         """Carry an action out; after an error the request that it was for gets an answer."""
         try:
             self._dispatch(action)
@@ -221,8 +223,8 @@
             ids = (action.request_id, number, action.endpoint)
             self.post(AttemptOutcome(*ids, Result.NOT_FORWARDED, 0, request.finished))
             return
-        now = self.clock.now()
-        time_remaining = max(0, request.expires_at - now)
+        now = self.clock.now_us()
+        time_remaining = max(0, request.expires_at_us - now)
         attempt = Attempt(action.request_id, number, action.endpoint, request, now)
         request.attempts_in_flight += 1
         self._attempts[(attempt.request_id, attempt.number)] = attempt
--- a/rushroad/proxy/in_flight.py
+++ b/rushroad/proxy/in_flight.py
@@ -11,7 +11,7 @@
     """A client's request, as the engine and its attempts see it."""
 
     id: bytes
-    arrived_at: float  # when its last byte arrived; seconds of the monotonic clock, which the loop's is
+    arrived_at_s: float  # when its last byte arrived; seconds of the monotonic clock, which the loop's is
     class_index: int
     plan_index: int
     tenant: int
@@ -24,13 +24,13 @@
     def poll_disconnect(self) -> bool:
         """Return whether its client has closed; the engine is then told of all requests on the connection."""
 
-    def forwarded_command(self, time_remaining: int) -> bytes:
-        """Return the command for a rate server; `time_remaining`, in microseconds, replaces the client's."""
+    def forwarded_command(self, time_remaining_us: int) -> bytes:
+        """Return the command for a rate server with the time remaining in place of the client's."""
 
     def succeed(self, value: bytes) -> None:
         """Answer with a rate server's value."""
 
-    def reject(self, retry_after: int) -> None:
+    def reject(self, retry_after_us: int) -> None:
         """Answer that it is rejected; a client may retry after so many microseconds, where this is not 0."""
 
     def fail(self) -> None:
@@ -42,7 +42,7 @@
     """A request that is owed its answer, or whose end the policy has not been told yet."""
 
     call: Call
-    expires_at: int  # microseconds of the gateway's clock; the deadline that the policy knows
+    expires_at_us: int  # microseconds of the gateway's clock; the deadline that the policy knows
     deadline_timer: asyncio.TimerHandle
     attempts_started: int = 0
     attempts_in_flight: int = 0
@@ -56,11 +56,11 @@
     request_id: int
     number: int  # 0, 1, 2... among the attempts of the request
     endpoint: str
-    in_flight: InFlightRequest
-    started_at: int  # microseconds of the gateway's clock
+    in_flight_request: InFlightRequest
+    started_at_us: int  # microseconds of the gateway's clock
     finished: bool = False
 
     @property
     def call(self) -> Call:
         """The client's request."""
-        return self.in_flight.call
+        return self.in_flight_request.call
--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -101,7 +101,7 @@
             self.end(attempt, Result.NOT_FORWARDED)  # the limit is this gateway's own
         else:
             pool.connecting += 1
-            task = self.loop.create_task(self._connect(attempt, pool, self._engine.clock.now() + timeout))
+            task = self.loop.create_task(self._connect(attempt, pool, self._engine.clock.now_us() + timeout))
             task.add_done_callback(pool.connect_ended)
             self._connecting[attempt] = task
 
@@ -132,7 +132,7 @@
             pool.release(connection)
         else:
             pool.add(connection)
-            self._write(attempt, connection, deadline - self._engine.clock.now())
+            self._write(attempt, connection, deadline - self._engine.clock.now_us())
 
     async def _open(self, connection: UpstreamConnection) -> Result:
         """Open a connection; returns the result of its attempt where the connection is of no use."""
--- a/tests/proxy/test_clock.py
+++ b/tests/proxy/test_clock.py
@@ -17,8 +17,8 @@
     # The second gateway is on a machine that was started later.
     monkeypatch.setattr("time.monotonic_ns", lambda: since_start["now"] - 6_000_000_000)
     second = Clock()
-    assert second.now() == (unix + since_start["now"]) // 1_000
+    assert second.now_us() == (unix + since_start["now"]) // 1_000
     monkeypatch.setattr("time.monotonic_ns", lambda: since_start["now"])
-    assert first.now() == (unix + since_start["now"]) // 1_000
+    assert first.now_us() == (unix + since_start["now"]) // 1_000
     monkeypatch.setattr("time.time_ns", lambda: 0)  # a system clock set back
-    assert first.now() == (unix + since_start["now"]) // 1_000
+    assert first.now_us() == (unix + since_start["now"]) // 1_000
--- a/tests/proxy/test_endpoint_lists.py
+++ b/tests/proxy/test_endpoint_lists.py
@@ -41,7 +41,7 @@
 
     def send(self, number: int) -> None:
         self.count += 1
-        attempt = Attempt(self.count, 0, f"s-{number}", request_in_flight(10, 0), self.engine.clock.now())
+        attempt = Attempt(self.count, 0, f"s-{number}", request_in_flight(10, 0), self.engine.clock.now_us())
         self.upstream.start(attempt, 10_000_000)
 
     async def result(self) -> Result:
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -35,7 +35,7 @@
     UpdateKind,
 )
 from rushroad.proxy.client_listener import ClientListener
-from rushroad.proxy.engine import NETWORK_ALLOWANCE, Engine
+from rushroad.proxy.engine import NETWORK_ALLOWANCE_US, Engine
 from rushroad.proxy.in_flight import Call
 from rushroad.proxy.upstream import Upstream
 from tests.support.attempts import LONG, OK, endpoint_at
@@ -193,7 +193,7 @@
 ) -> None:
     # It waited unread for all of its time: the deadline timer is due before the policy has the request.
     set_monotonic_time(monkeypatch, 1e12)
-    monkeypatch.setattr(rushroad.proxy.engine, "DEADLINE_GRACE", 0)
+    monkeypatch.setattr(rushroad.proxy.engine, "DEADLINE_GRACE_US", 0)
 
     def script(event: Event) -> Iterator[Action]:
         if isinstance(event, Request):
@@ -295,7 +295,7 @@
     id = b"1"
     class_index = plan_index = tenant = first_entry = 0
     units, time_remaining_ms, entry_points, is_retry = 1.0, 1_000, 1, False
-    arrived_at = time.monotonic()
+    arrived_at_s = time.monotonic()
 
 
 def test_endpoint_update_is_processed_before_requests_queued_earlier(play_engine: PlayEngine) -> None:
@@ -379,4 +379,4 @@
 
     request = play_engine(start_attempt, scenario)[0]
     assert isinstance(request, Request)
-    assert request.time_remaining == SETTINGS.request_classes[0].deadline - NETWORK_ALLOWANCE
+    assert request.time_remaining == SETTINGS.request_classes[0].deadline - NETWORK_ALLOWANCE_US
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -57,7 +57,7 @@
         """Start an attempt of a new request; they count from 1."""
         self.attempts += 1
         request = request_in_flight(size, class_index)
-        attempt = Attempt(self.attempts, 0, "s-1", request, self.engine.clock.now())
+        attempt = Attempt(self.attempts, 0, "s-1", request, self.engine.clock.now_us())
         self.upstream.start(attempt, timeout)
         return attempt
 
