--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -1,4 +1,7 @@
-"""Drives the policy: events in, `Gateway.handle`, actions out. Has the clock, ids and timers; no sockets."""
+"""Passes events to the policy and executes the actions that it returns.
+
+The engine owns the clock, the request ids and the timers; it has no sockets.
+"""
 
 from __future__ import annotations
 
@@ -36,34 +39,34 @@
 
 __all__ = ["Attempt", "Backend", "Counter", "Engine"]
 
-NETWORK_ALLOWANCE_US = 10_000  # microseconds of a client's time kept back for the network and for loop lag
-DEADLINE_GRACE_US = 30_000  # microseconds after the policy's deadline in which the policy may still answer
+NETWORK_ALLOWANCE_US = 10_000  # subtracted from the client's deadline, to cover network latency and loop lag
+DEADLINE_GRACE_US = 30_000  # time after a request's deadline in which the policy can still answer it
 
-AttemptKey: TypeAlias = tuple[int, int]  # id of the request, number of the attempt
+AttemptKey: TypeAlias = tuple[int, int]  # request id, attempt number
 
 
 class Backend(Protocol):
-    """Where attempts go."""
+    """Sends attempts to endpoints."""
 
-    def start(self, attempt: Attempt, timeout: int) -> None:
-        """Start an attempt; exactly one `Engine.attempt_finished` follows. `timeout` is in microseconds."""
+    def start(self, attempt: Attempt, timeout_us: int) -> None:
+        """Start an attempt and call `Engine.attempt_finished` exactly once when it ends."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt."""
+        """Stop waiting for the response to an attempt."""
 
     def withdraw(self, attempt: Attempt) -> None:
-        """End an attempt as not forwarded, unless it has been written: its request is finished."""
+        """End an attempt of a finished request as not forwarded, unless it has already been written."""
 
 
 class Counter(Protocol):
-    """Where additions to the shared counter go."""
+    """Sends additions to the shared counter."""
 
-    def add(self, name: int, amount: float, lifetime: int) -> None:
-        """Add; exactly one `CounterReply` event follows. `lifetime` is in microseconds."""
+    def add(self, name: int, amount: float, lifetime_us: int) -> None:
+        """Add to a counter and post exactly one `CounterReply` event."""
 
 
 class Engine:
-    """Carries out one gateway's decisions, and sees that each request gets exactly one answer in time."""
+    """Executes the policy's actions and ensures that each request gets exactly one answer in time."""
 
     def __init__(self, settings: Settings, seed: int, loop: asyncio.AbstractEventLoop) -> None:
         self.clock = Clock()
@@ -73,46 +76,46 @@
         self._loop = loop
         self._policy = Gateway(settings, seed, self.clock.now_us())
         self._request_ids = itertools.count(1)
-        self._requests: dict[int, InFlightRequest] = {}  # by id, until the policy knows of their end
-        self._attempts: dict[AttemptKey, Attempt] = {}  # those in flight
-        self._call_ids: set[bytes] = set()  # of requests without an answer, or with attempts in flight
+        self._requests: dict[int, InFlightRequest] = {}  # by id; removed once the policy knows the end
+        self._attempts: dict[AttemptKey, Attempt] = {}  # attempts in flight
+        self._call_ids: set[bytes] = set()  # of requests that are unanswered or have attempts in flight
         self._endpoint_updates: deque[EndpointUpdate] = deque()
         self._events: deque[Event] = deque()
-        self._scheduled = False  # a turn of the loop that processes them
+        self._scheduled = False  # whether a call of `_process_events` is scheduled
 
-    # --- called by the sockets' side ----------------------------------------------------------------------
+    # --- called by the connections ------------------------------------------------------------------------
 
     def submit(self, call: Call) -> int:
-        """Take a request and return its id; 0 where it is not taken, as one with its call id is in flight."""
+        """Accept a request and return its id, or 0 if a request with the same call id is in flight."""
         if call.id in self._call_ids:
             return 0
         self._call_ids.add(call.id)
         request_id = next(self._request_ids)
-        # A client does not wait longer than the deadline of the class, whatever it says.
+        # The deadline of the request class is an upper limit for the client's own deadline.
         class_deadline_us = self._settings.request_classes[call.class_index].deadline
-        timeout = min(call.time_remaining_ms * 1_000, class_deadline_us)
+        timeout_us = min(call.time_remaining_ms * 1_000, class_deadline_us)
         waited_us = max(0, int((time.monotonic() - call.arrived_at_s) * 1e6))
-        time_remaining = max(0, timeout - NETWORK_ALLOWANCE_US - waited_us)
+        time_remaining_us = max(0, timeout_us - NETWORK_ALLOWANCE_US - waited_us)
         timer = self._loop.call_later(
-            (time_remaining + DEADLINE_GRACE_US) / 1e6, self._deadline_passed, request_id
+            (time_remaining_us + DEADLINE_GRACE_US) / 1e6, self._deadline_passed, request_id
         )
-        self._requests[request_id] = InFlightRequest(call, self.clock.now_us() + time_remaining, timer)
-        remaining_fields = (call.units, time_remaining, call.entry_points, call.first_entry, call.is_retry)
+        self._requests[request_id] = InFlightRequest(call, self.clock.now_us() + time_remaining_us, timer)
+        remaining_fields = (call.units, time_remaining_us, call.entry_points, call.first_entry, call.is_retry)
         self.post(Request(request_id, call.class_index, call.plan_index, call.tenant, *remaining_fields))
         return request_id
 
     def client_disconnected(self, request_id: int) -> None:
-        """End a request without an answer: its client has closed."""
+        """End a request without an answer because its client has disconnected."""
         if self._finish(request_id) is not None:
             self.post(ClientDisconnected(request_id))
 
     def endpoints_updated(self, update: EndpointUpdate) -> None:
-        """Queue an update of the endpoint list, before all other events: attempts rely on it."""
+        """Queue an endpoint update ahead of all other events, since attempts depend on the endpoint list."""
         self._endpoint_updates.append(update)
         self._schedule()
 
     def post(self, event: Event) -> None:
-        """Queue an event; the queue is processed after all sockets that are ready have been read."""
+        """Queue an event; the queue is processed after all ready sockets have been read."""
         self._events.append(event)
         self._schedule()
 
@@ -124,7 +127,10 @@
         load_report: tuple[float, ...] = (),
         actual_units: float | None = None,
     ) -> None:
-        """Take an attempt's outcome; the first response goes to the client, and its actual units count."""
+        """Report the outcome of an attempt to the policy.
+
+        The first successful response of a request is passed to the client, and its actual units are charged.
+        """
         if attempt.finished:
             return
         attempt.finished = True
@@ -144,7 +150,10 @@
         )
 
     def answer_all(self) -> None:
-        """Answer all requests in flight now, as the process ends: rejected where nothing was forwarded."""
+        """Answer all requests in flight before the process exits.
+
+        A request that was never forwarded is rejected; all others fail.
+        """
         for request_id, request in list(self._requests.items()):
             if request.attempts_started:
                 self._fail(request_id)
@@ -160,7 +169,7 @@
             self._loop.call_soon(self._process_events)
 
     def _process_events(self) -> None:
-        """Process what is queued now. Events that this adds are processed in the loop's next turn."""
+        """Process the queued events. Events posted meanwhile wait for the next event loop iteration."""
         self._scheduled = False
         for queue in (self._endpoint_updates, self._events):
             for _ in range(len(queue)):
@@ -169,8 +178,8 @@
     def _process_event(self, event: Event) -> None:
         try:
             actions = self._policy.handle(self.clock.now_us(), event)
-        except Exception:  # noqa: BLE001 - one request's error must not end the process
-            log(f"the policy failed on {type(event).__name__}; its request fails: {traceback.format_exc()}")
+        except Exception:  # noqa: BLE001 - an error in one request must not end the process
+            log(f"policy error on {type(event).__name__}; failing the request: {traceback.format_exc()}")
             self._fail_request_of(event)
             actions = []
         for action in actions:
@@ -187,11 +196,11 @@
     # --- actions ------------------------------------------------------------------------------------------
 
     def _execute(self, action: Action) -> None:
-        """Carry an action out; after an error the request that it was for gets an answer."""
+        """Execute an action; on an error, fail the request that it belongs to."""
         try:
             self._dispatch(action)
-        except Exception:  # noqa: BLE001 - one request's error must not end the process
-            log(f"{type(action).__name__} can't be carried out; its request fails: {traceback.format_exc()}")
+        except Exception:  # noqa: BLE001 - an error in one request must not end the process
+            log(f"error executing {type(action).__name__}; failing the request: {traceback.format_exc()}")
             if isinstance(action, StartAttempt | Reject | Fail | CancelAttempt):
                 self._fail(action.request_id)
 
@@ -210,26 +219,26 @@
             case CancelAttempt():
                 self._cancel_attempt(action)
             case WatchEndpoints():
-                pass  # discovery is watched from the start, and for good
+                pass  # discovery is always watched, from the start of the process
             case _:
-                raise NotImplementedError(f"the engine can't carry out the action {action}")
+                raise NotImplementedError(f"the engine does not support the action {action}")
 
     def _start_attempt(self, action: StartAttempt) -> None:
         request = self._requests[action.request_id]
         number = request.attempts_started
         request.attempts_started += 1
-        # The client may have closed: that is read a turn of the loop later, or more while reading is paused.
+        # The event loop reports a disconnect at least one iteration late, and not while reading is paused.
         if request.finished or request.call.poll_disconnect() or number >= self._settings.limits.max_attempts:
             ids = (action.request_id, number, action.endpoint)
             self.post(AttemptOutcome(*ids, Result.NOT_FORWARDED, 0, request.finished))
             return
-        now = self.clock.now_us()
-        time_remaining = max(0, request.expires_at_us - now)
-        attempt = Attempt(action.request_id, number, action.endpoint, request, now)
+        now_us = self.clock.now_us()
+        time_remaining_us = max(0, request.expires_at_us - now_us)
+        attempt = Attempt(action.request_id, number, action.endpoint, request, now_us)
         request.attempts_in_flight += 1
         self._attempts[(attempt.request_id, attempt.number)] = attempt
-        # A time-out of 0 means until the client gives up.
-        self.backend.start(attempt, min(action.timeout or time_remaining, time_remaining))
+        # A timeout of 0 stands for the time remaining.
+        self.backend.start(attempt, min(action.timeout or time_remaining_us, time_remaining_us))
 
     def _cancel_attempt(self, action: CancelAttempt) -> None:
         attempt = self._attempts.get((action.request_id, action.attempt))
@@ -249,13 +258,13 @@
     # --- the end of a request -----------------------------------------------------------------------------
 
     def _finish(self, request_id: int) -> InFlightRequest | None:
-        """End a request and return it, as its answer is due now; None where it has ended before."""
+        """Mark a request as finished and return it, or None if it was finished before."""
         request = self._requests.get(request_id)
         if request is None or request.finished:
             return None
         request.finished = True
         request.deadline_timer.cancel()
-        if request.attempts_in_flight:  # one that waits for its connection would be executed for nobody
+        if request.attempts_in_flight:  # an attempt still waiting for a connection would be executed in vain
             for number in range(request.attempts_started):
                 if (attempt := self._attempts.get((request_id, number))) is not None:
                     self.backend.withdraw(attempt)
@@ -263,26 +272,26 @@
         return request
 
     def _fail(self, request_id: int) -> None:
-        """Answer a request as failed, unless it has ended, and tell the policy that it is over."""
+        """Fail a request, unless it is finished, and tell the policy that it has ended."""
         request = self._finish(request_id)
         if request is not None:
             request.call.fail()
             self.post(ClientDisconnected(request_id))
 
     def _release_call_id(self, request: InFlightRequest) -> None:
-        """Let the call id be used again, once the request is finished and no attempt is in flight.
+        """Allow the call id to be reused once the request is finished and has no attempt in flight.
 
-        Until then an endpoint would take another request with the same id for a duplicate of this one.
+        Until then, an endpoint would treat another request with the same id as a duplicate of this one.
         """
         if request.finished and not request.attempts_in_flight:
             self._call_ids.discard(request.call.id)
 
     def _deadline_passed(self, request_id: int) -> None:
-        # Events that are queued may still bring the answer; they are processed before this callback.
+        # A queued event may still lead to an answer; queued events are processed before this callback.
         self._loop.call_soon(self._fail_unanswered, request_id)
 
     def _fail_unanswered(self, request_id: int) -> None:
         request = self._requests.get(request_id)
         if request is not None and not request.finished:
-            log(f"the policy let the time of request {request_id} run out; the request fails")
+            log(f"the policy did not answer request {request_id} before its deadline; failing the request")
             self._fail(request_id)
--- a/rushroad/proxy/in_flight.py
+++ b/rushroad/proxy/in_flight.py
@@ -1,4 +1,4 @@
-"""Requests that are owed an answer, and their attempts."""
+"""Requests in flight and their attempts."""
 
 from __future__ import annotations
 
@@ -8,21 +8,24 @@
 
 
 class Call(Protocol):
-    """A client's request, as the engine and its attempts see it."""
+    """A client's request, as seen by the engine and the attempts."""
 
     id: bytes
-    arrived_at_s: float  # when its last byte arrived; seconds of the monotonic clock, which the loop's is
+    arrived_at_s: float  # when its last byte arrived, on the monotonic clock, which is also the loop's
     class_index: int
     plan_index: int
     tenant: int
     units: float
-    time_remaining_ms: int  # until its client gives up, from when it sent the call
+    time_remaining_ms: int  # from the sending of the call until the client gives up
     entry_points: int
     first_entry: int
     is_retry: bool
 
     def poll_disconnect(self) -> bool:
-        """Return whether its client has closed; the engine is then told of all requests on the connection."""
+        """Return whether the client has disconnected.
+
+        If so, the engine has been notified for all requests on the connection.
+        """
 
     def forwarded_command(self, time_remaining_us: int) -> bytes:
         """Return the command for a rate server with the time remaining in place of the client's."""
@@ -31,22 +34,22 @@
         """Answer with a rate server's value."""
 
     def reject(self, retry_after_us: int) -> None:
-        """Answer that it is rejected; a client may retry after so many microseconds, where this is not 0."""
+        """Answer that the request is rejected; 0 means that no Retry-After is given."""
 
     def fail(self) -> None:
-        """Answer that it failed."""
+        """Answer that the request failed."""
 
 
 @dataclass(slots=True, eq=False)
 class InFlightRequest:
-    """A request that is owed its answer, or whose end the policy has not been told yet."""
+    """A request that is unanswered, or whose end the policy has not processed yet."""
 
     call: Call
-    expires_at_us: int  # microseconds of the gateway's clock; the deadline that the policy knows
+    expires_at_us: int  # on the gateway's clock; the deadline that the policy uses
     deadline_timer: asyncio.TimerHandle
     attempts_started: int = 0
     attempts_in_flight: int = 0
-    finished: bool = False  # answered, or its client disconnected
+    finished: bool = False  # answered, or its client has disconnected
 
 
 @dataclass(slots=True, eq=False)
@@ -54,10 +57,10 @@
     """One forwarding of a request to an endpoint."""
 
     request_id: int
-    number: int  # 0, 1, 2... among the attempts of the request
+    number: int  # counts the attempts of the request from 0
     endpoint: str
     in_flight_request: InFlightRequest
-    started_at_us: int  # microseconds of the gateway's clock
+    started_at_us: int  # on the gateway's clock
     finished: bool = False
 
     @property
--- a/tests/integration/soak.py
+++ b/tests/integration/soak.py
@@ -204,7 +204,7 @@
         result, log = self.result, cluster.log(0)
         if exit_status not in (None, 0):
             result.violations.append(f"exit status {exit_status}")
-        result.outcomes["answered at the shutdown deadline"] += log.count("run out")
+        result.outcomes["answered at the shutdown deadline"] += log.count("the policy did not answer request")
         if "Traceback" in log:
             result.violations.append(f"log: {log[-300:]!r}")
         result.max_loop_lag = cluster.max_loop_lag
--- a/tests/integration/test_system_calls.py
+++ b/tests/integration/test_system_calls.py
@@ -133,7 +133,7 @@
             # A request may be rejected where no connection to a rate server can be made for it.
             served_fraction = 1.0 if system_call not in CONNECTION_CALLS else MIN_SERVED_FRACTION
             assert answers[SERVED] >= served_fraction * answers.total(), answers
-            assert "run out" not in cluster.log(0)
+            assert "the policy did not answer request" not in cluster.log(0)
             assert await cluster.stop() == 0
 
     run(scenario)
--- a/tests/support/scripted_policy.py
+++ b/tests/support/scripted_policy.py
@@ -1,4 +1,4 @@
-"""A policy whose actions a test scripts, in place of the gateway's own."""
+"""A scripted policy that replaces the gateway's policy in tests."""
 
 from collections.abc import Callable, Iterator
 
@@ -11,7 +11,7 @@
 
 
 class ScriptedPolicy:
-    """Answers each event with the actions of a script; keeps the events in order."""
+    """Returns the actions of a script for each event and records the events in order."""
 
     def __init__(self, script: Script) -> None:
         self._script = script
@@ -23,7 +23,7 @@
 
 
 def install_policy(monkeypatch: pytest.MonkeyPatch, script: Script) -> ScriptedPolicy:
-    """Have engines that are made from now on use a scripted policy."""
+    """Make all engines created from now on use a scripted policy."""
     policy = ScriptedPolicy(script)
     monkeypatch.setattr("rushroad.proxy.engine.Gateway", lambda *_: policy)
     return policy
