--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -28,14 +28,16 @@
 from rushroad.proxy.nonblocking_log import log
 from rushroad.proxy.shutdown import shut_down, termination_event
 from rushroad.proxy.transient_errors import (
-    RETRY_INTERVAL,
-    START_RETRY_TIME,
+    RETRY_INTERVAL_S,
+    START_RETRY_TIME_S,
     TRANSIENT_ERRORS,
     retry_transient,
 )
 from rushroad.proxy.upstream import Upstream
 
-FIRST_UPDATE_TIMEOUT = 0.3  # seconds that a start waits for discovery before it uses the cached endpoint list
+FIRST_UPDATE_TIMEOUT_S = (
+    0.3  # seconds that a start waits for discovery before it uses the cached endpoint list
+)
 EXIT_OK, EXIT_START_FAILED = 0, 2
 
 
@@ -84,13 +86,13 @@
 
     apply_update = _update_handler(engine, upstream, loop)
     version = await retry_transient(lambda: read_cached_endpoints(proxy_settings, memory_limit, apply_update))
-    generator = random.Random(configuration.seed)
+    random_generator = random.Random(configuration.seed)
     discovery = Discovery(
-        configuration.discovery, version, proxy_settings, apply_update, loop, generator, memory_limit
+        configuration.discovery, version, proxy_settings, apply_update, loop, random_generator, memory_limit
     )
     reloads = start_reloads(loop, discovery, counter)
     with suppress(TimeoutError):
-        async with asyncio.timeout(FIRST_UPDATE_TIMEOUT):
+        async with asyncio.timeout(FIRST_UPDATE_TIMEOUT_S):
             await discovery.updated.wait()
     await retry_transient(lambda: listener.listen(*configuration.listen))
     freeze_startup_objects()
@@ -101,14 +103,14 @@
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
     """Create the event loop, retrying while the system has no descriptors or memory for it."""
-    retry_until = time.monotonic() + START_RETRY_TIME
+    retry_until = time.monotonic() + START_RETRY_TIME_S
     while True:
         try:
             return uvloop.new_event_loop()
         except OSError as error:
             if error.errno not in TRANSIENT_ERRORS or time.monotonic() > retry_until:
                 raise
-        time.sleep(RETRY_INTERVAL)
+        time.sleep(RETRY_INTERVAL_S)
 
 
 def main() -> int:
--- a/rushroad/proxy/arrival_times.py
+++ b/rushroad/proxy/arrival_times.py
@@ -5,9 +5,9 @@
 import math
 from collections import deque
 
-CATCH_UP_TIME = 0.2  # seconds after a backlog was read in which more of it, held by the peer, may arrive
+CATCH_UP_TIME_S = 0.2  # seconds after a backlog was read in which more of it, held by the peer, may arrive
 LARGE_READ_BYTES = 64 * 1024  # after a read of this size the system may hold more
-MERGE_INTERVAL = 0.005  # seconds; closer reads share an entry, so that single bytes can't fill memory
+MERGE_INTERVAL_S = 0.005  # seconds; closer reads share an entry, so that single bytes can't fill memory
 
 
 class ArrivalTimes:
@@ -46,9 +46,9 @@
             else:
                 arrived_at = self._backlog_since
                 if size >= LARGE_READ_BYTES or self._backlog_until == math.inf:
-                    self._backlog_until = received_since + CATCH_UP_TIME
+                    self._backlog_until = received_since + CATCH_UP_TIME_S
         self._received += size
-        if self._entries and arrived_at - self._entries[-1][1] < MERGE_INTERVAL:
+        if self._entries and arrived_at - self._entries[-1][1] < MERGE_INTERVAL_S:
             arrived_at = min(arrived_at, self._entries.pop()[1])
         self._entries.append((self._received, arrived_at))
 
--- a/rushroad/proxy/client_command.py
+++ b/rushroad/proxy/client_command.py
@@ -1,4 +1,4 @@
-"""One command of a client: its words are validated and mapped to our terms here, and it is answered."""
+"""One command of a client: its arguments are validated and mapped to our terms here, and it is answered."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     from rushroad.proxy.client_connection import ClientConnection
 
 CALL_GET, CALL_POST, PING = b"CALL.GET", b"CALL.POST", b"PING"
-CALL_WORD_COUNTS = {CALL_GET: 4, CALL_POST: 5}  # by name, which is one of the words
+CALL_ARGUMENT_COUNTS = {CALL_GET: 4, CALL_POST: 5}  # by name, which is one of the arguments
 TENANT_LIMIT = 1 << 33  # tenants are numbered below this
 TENANT_PATTERN = re.compile(rb"[0-9a-f]{16}")
 ID_PATTERN = re.compile(rb"[0-9A-Za-z._:-]{1,64}")
 TEXT_PATTERN = re.compile(rb"[^\0- ]{1,128}")
 INTEGER_PATTERN = re.compile(rb"\d{1,9}")
-OPTION_PATTERNS = {  # by name, in the operators' words; a call may have no other options
+OPTION_PATTERNS = {  # by name, in the operators' arguments; a call may have no other options
     b"c": TEXT_PATTERN,
     b"t": TEXT_PATTERN,
     b"k": TEXT_PATTERN,
@@ -42,11 +42,11 @@
     """What the calls of this deployment may contain."""
 
     class_indexes: dict[bytes, int]  # request classes by name
-    duplicates_unsafe: tuple[bool, ...]  # by request class: its requests have to come as CALL.POST
+    requires_post: tuple[bool, ...]  # by request class: its requests have to come as CALL.POST
     plan_indexes: dict[bytes, int]  # plans by name
     max_units: float  # of one request
     fleet_size: int  # gateways
-    longest_deadline: float = 0.0  # seconds; of all request classes
+    longest_deadline_s: float = 0.0  # seconds; of all request classes
 
     @classmethod
     def from_settings(cls, settings: Settings, proxy_settings: ProxySettings) -> CommandSchema:
@@ -79,6 +79,7 @@
 
     __slots__ = (
         "answer",
+        "arguments",
         "arrived_at_s",
         "class_index",
         "connection",
@@ -91,7 +92,6 @@
         "tenant",
         "time_remaining_ms",
         "units",
-        "words",
     )
 
     def __init__(self, connection: ClientConnection, arrived_at_s: float) -> None:
@@ -101,29 +101,29 @@
         )
         self.answer: bytes | None = None
         self.request_id = 0  # the engine's, while it owes the answer; else 0
-        self.words: list[bytes] = []
+        self.arguments: list[bytes] = []
 
-    def parse_call(self, words: list[bytes], schema: CommandSchema) -> None:
-        """Take over the words of a call; raise InvalidCommandError unless all of them are valid.
+    def parse_call(self, arguments: list[bytes], schema: CommandSchema) -> None:
+        """Take over the arguments of a call; raise InvalidCommandError unless all of them are valid.
 
-        The words go on to rate servers as they are, so this is the only check of what those are sent.
+        The arguments go on to rate servers as they are, so this is the only check of what those are sent.
         """
-        if len(words) != CALL_WORD_COUNTS[words[0]]:
+        if len(arguments) != CALL_ARGUMENT_COUNTS[arguments[0]]:
             raise InvalidCommandError("wrong number of arguments")
-        options = parse_options(words[3])
+        options = parse_options(arguments[3])
         try:
             self.class_index = schema.class_indexes[options[b"c"]]
             self.plan_index = schema.plan_indexes[options[b"t"]]
             self.time_remaining_ms = int(options[b"d"])
         except KeyError:
             raise InvalidCommandError("missing or unknown class, plan or d") from None
-        if schema.duplicates_unsafe[self.class_index] is not (words[0] == CALL_POST):
+        if schema.requires_post[self.class_index] is not (arguments[0] == CALL_POST):
             raise InvalidCommandError("wrong command for the class")
-        if not TENANT_PATTERN.fullmatch(words[1]) or (tenant := int(words[1], 16)) >= TENANT_LIMIT:
+        if not TENANT_PATTERN.fullmatch(arguments[1]) or (tenant := int(arguments[1], 16)) >= TENANT_LIMIT:
             raise InvalidCommandError("bad customer")
-        if not ID_PATTERN.fullmatch(words[2]):
+        if not ID_PATTERN.fullmatch(arguments[2]):
             raise InvalidCommandError("bad id")
-        self.tenant, self.id, self.words = tenant, words[2], words
+        self.tenant, self.id, self.arguments = tenant, arguments[2], arguments
         self.units = float(options.get(b"units", 1))
         self.entry_points = int(options.get(b"spread", 1))
         self.first_entry = int(options.get(b"first", 0))
@@ -139,9 +139,9 @@
     def forwarded_command(self, time_remaining_us: int) -> bytes:
         """Return the command for a rate server with the time remaining in place of the client's."""
         deadline = b"d=%d" % max(1, time_remaining_us // 1_000)
-        items = self.words[3].split(b",")
+        items = self.arguments[3].split(b",")
         options = b",".join([deadline if item.startswith(b"d=") else item for item in items])
-        return resp.pack([*self.words[:3], options, *self.words[4:]])
+        return resp.pack([*self.arguments[:3], options, *self.arguments[4:]])
 
     def succeed(self, value: bytes) -> None:
         """Answer with a rate server's value."""
@@ -161,9 +161,9 @@
         """Answer that it is not valid, and why."""
         self._answer(b"-ERR %b\r\n" % error.encode())
 
-    def answer_ping(self, words: list[bytes]) -> None:
+    def answer_ping(self, arguments: list[bytes]) -> None:
         """Answer a PING; raise InvalidCommandError where it is another command."""
-        if words[0].upper() != PING:
+        if arguments[0].upper() != PING:
             raise InvalidCommandError("unknown command")
         self._answer(b"+PONG\r\n")
 
--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -8,24 +8,24 @@
 
 from rushroad.proxy import resp
 from rushroad.proxy.arrival_times import ArrivalTimes
-from rushroad.proxy.client_command import CALL_WORD_COUNTS, ClientCommand, InvalidCommandError
+from rushroad.proxy.client_command import CALL_ARGUMENT_COUNTS, ClientCommand, InvalidCommandError
 from rushroad.proxy.connection_table import ConnectionTable
 from rushroad.proxy.disconnect_poll import has_disconnected
-from rushroad.proxy.transient_errors import readable
+from rushroad.proxy.transient_errors import is_readable
 
-MAX_WORDS = 16  # of a command; more than clients and their libraries send in any
-MAX_UNANSWERED = 64  # commands of a connection; further ones are not taken yet
-MAX_COMMANDS_PER_TURN = 64  # taken from one connection before others have their turn
-INVALID_COMMAND_PAUSE = 0.05  # seconds without reading: repeats must not take the other clients' CPU time
-READ_AHEAD_BYTES = 8 * 1024  # of commands that are not taken yet; arrival times are less exact beyond
+MAX_ARGUMENTS = 16  # of a command; more than clients and their libraries send in any
+MAX_UNANSWERED = 64  # commands of a connection; further ones are not processed yet
+MAX_COMMANDS_PER_BATCH = 64  # processed from one connection before others have their turn
+INVALID_COMMAND_PAUSE_S = 0.05  # seconds without reading: repeats must not take the other clients' CPU time
+READ_AHEAD_BYTES = 8 * 1024  # of commands that are not processed yet; arrival times are less exact beyond
 MAX_LINGERING_READ_BYTES = 256 * 1024  # unread bytes at close would reset the connection and lose answers
 
 
 class BlockReason:
-    """Why no commands are taken from a connection for now; bits, as several reasons may hold at once."""
+    """Why no commands are processed from a connection for now; bits, as several reasons may hold at once."""
 
     PIPELINE_FULL = 1
-    END_OF_TURN = 2
+    BATCH_ENDED = 2
     ANSWERS_UNREAD = 4
 
 
@@ -35,15 +35,15 @@
     def __init__(self, table: ConnectionTable, descriptor: int, waiting_since: float | None = None) -> None:
         """Take over a socket; `waiting_since` tells since when it may have waited, if accepting was late."""
         self._table, self.descriptor = table, descriptor
-        self._reader = resp.Reader(MAX_WORDS)
+        self._reader = resp.Reader(MAX_ARGUMENTS)
         self._arrivals = ArrivalTimes()
         if waiting_since is not None:
             self._arrivals.reading_paused(waiting_since)  # it is read as soon as it is set up
         self._blocked_by = 0  # bits of BlockReason
         self._reading_paused = False
-        self._input_closed = False  # no further command is taken; it closes once all are answered
+        self._input_closed = False  # no further command is processed; it closes once all are answered
         self._received_nothing = True
-        self._lingering_read_bytes = 0  # received since no commands are taken
+        self._lingering_read_bytes = 0  # received since no commands are processed
         self.unread_since = 0.0  # since when its client has not read its answers
         self.ended_at: float | None = None  # when its client was told that no more answers come
         self.unanswered: deque[ClientCommand] = deque()
@@ -67,7 +67,7 @@
         self._arrivals.record(len(data), self._table.loop_lag.waiting_since())
         self._reader.feed(data)
         if not self._blocked_by:
-            self._take_commands()
+            self._process_commands()
         elif self._reader.waiting > READ_AHEAD_BYTES:
             self._pause_reading()
 
@@ -98,45 +98,45 @@
 
     # --- commands and answers -----------------------------------------------------------------------------
 
-    def _take_commands(self) -> None:
+    def _process_commands(self) -> None:
         """Take the whole commands that have arrived, as far as bounds allow."""
-        taken, any_invalid, words = 0, False, None
+        processed, any_invalid, arguments = 0, False, None
         try:
-            while taken < MAX_COMMANDS_PER_TURN and len(self.unanswered) < MAX_UNANSWERED:
-                if (words := self._reader.next()) is None:
+            while processed < MAX_COMMANDS_PER_BATCH and len(self.unanswered) < MAX_UNANSWERED:
+                if (arguments := self._reader.next()) is None:
                     break
-                any_invalid |= not self._take_command(cast(list[bytes], words))
-                taken += 1
+                any_invalid |= not self._process_command(cast(list[bytes], arguments))
+                processed += 1
         except resp.ProtocolError as error:
             self._refuse_input(f"Protocol error: {error}")
             return
         if self._input_closed:
             return
-        self._update_timeout(taken, partial=words is None and not self._reader.empty())
+        self._update_timeout(processed, partial=arguments is None and not self._reader.empty())
         if len(self.unanswered) >= MAX_UNANSWERED:
             self._block(BlockReason.PIPELINE_FULL)
-        if any_invalid or taken >= MAX_COMMANDS_PER_TURN:
-            self._block(BlockReason.END_OF_TURN)
-            pause = INVALID_COMMAND_PAUSE if any_invalid else 0
-            self._table.loop.call_later(pause, self._unblock, BlockReason.END_OF_TURN)
+        if any_invalid or processed >= MAX_COMMANDS_PER_BATCH:
+            self._block(BlockReason.BATCH_ENDED)
+            pause = INVALID_COMMAND_PAUSE_S if any_invalid else 0
+            self._table.loop.call_later(pause, self._unblock, BlockReason.BATCH_ENDED)
 
-    def _take_command(self, words: list[bytes]) -> bool:
+    def _process_command(self, arguments: list[bytes]) -> bool:
         """Submit or answer one command; return False where it is not valid."""
         command = ClientCommand(self, self._arrivals.arrival_of(self._reader.consumed))
         self.unanswered.append(command)
         self._table.mark_busy(self)
         try:
-            if words[0] in CALL_WORD_COUNTS:
-                self._submit(command, words)
+            if arguments[0] in CALL_ARGUMENT_COUNTS:
+                self._submit(command, arguments)
             else:
-                command.answer_ping(words)
+                command.answer_ping(arguments)
         except InvalidCommandError as error:
             command.refuse(str(error))
             return False
         return True
 
-    def _submit(self, command: ClientCommand, words: list[bytes]) -> None:
-        command.parse_call(words, self._table.schema)
+    def _submit(self, command: ClientCommand, arguments: list[bytes]) -> None:
+        command.parse_call(arguments, self._table.schema)
         if self._table.shutting_down:
             command.reject(0)  # otherwise a busy connection would never be without unanswered commands
             return
@@ -145,12 +145,12 @@
             # At a rate server the same id would be a second copy of the request that is in flight.
             raise InvalidCommandError("the id is taken")
 
-    def _update_timeout(self, taken: int, partial: bool) -> None:
-        if partial and taken:
+    def _update_timeout(self, processed: int, partial: bool) -> None:
+        if partial and processed:
             self._table.restart_timeout(self)
         elif partial:
             self._table.start_timeout(self)
-        elif taken:
+        elif processed:
             self._table.stop_timeout(self)
             if not self.unanswered:
                 self._table.mark_idle(self)
@@ -174,7 +174,7 @@
     def _refuse_input(self, error: str) -> None:
         """Answer with an error after all that is unanswered, then close: no command can follow."""
         self._input_closed = True
-        self._reader = resp.Reader(MAX_WORDS)
+        self._reader = resp.Reader(MAX_ARGUMENTS)
         self._block(BlockReason.PIPELINE_FULL)
         self._pause_reading()
         command = ClientCommand(self, self._table.loop.time())
@@ -194,7 +194,7 @@
         self._blocked_by &= ~reason
         if self._input_closed or self._blocked_by or self.transport.is_closing() or self.poll_disconnect():
             return
-        self._take_commands()
+        self._process_commands()
         if not self._blocked_by and not self._input_closed:
             self._resume_reading()
 
@@ -203,13 +203,13 @@
             self._reading_paused = True
             self._arrivals.reading_paused(self._table.loop.time())
             self.transport.pause_reading()
-            self._table.disconnect_poll.watch(self)
+            self._table.disconnect_poller.watch(self)
 
     def _resume_reading(self) -> None:
         if self._reading_paused:
             self._reading_paused = False
-            self._arrivals.reading_resumed(readable(self.descriptor))
-            self._table.disconnect_poll.unwatch(self)
+            self._arrivals.reading_resumed(is_readable(self.descriptor))
+            self._table.disconnect_poller.unwatch(self)
             self.transport.resume_reading()
 
     # --- closing ------------------------------------------------------------------------------------------
@@ -228,7 +228,7 @@
             return
         self._input_closed = True
         self.ended_at = self._table.loop.time()
-        self._reader = resp.Reader(MAX_WORDS)
+        self._reader = resp.Reader(MAX_ARGUMENTS)
         self._table.mark_busy(self)
         self._table.restart_timeout(self)
         self.transport.write_eof()
@@ -237,7 +237,7 @@
 
     def abort(self) -> None:
         """Close at once; what is not written yet is lost."""
-        self._table.disconnect_poll.unwatch(self)
+        self._table.disconnect_poller.unwatch(self)
         self.transport.abort()
 
     def time_out(self) -> None:
--- a/rushroad/proxy/client_listener.py
+++ b/rushroad/proxy/client_listener.py
@@ -10,15 +10,17 @@
 from rushroad.proxy.client_connection import ClientConnection
 from rushroad.proxy.connection_table import ConnectionTable
 from rushroad.proxy.engine import Engine
-from rushroad.proxy.transient_errors import RESOURCE_ERRORS, RETRY_INTERVAL, poll_now
+from rushroad.proxy.transient_errors import RESOURCE_ERRORS, RETRY_INTERVAL_S, poll_now
 
 BACKLOG = 1_024  # connections that the system keeps until they are accepted
-MAX_ACCEPTS_PER_TURN = 16  # each takes a descriptor before the connection that makes room for it is closed
-MAX_SETUP_TRIES = 3  # to make a connection of an accepted socket
-MAX_LAST_ACCEPT_FAILURES = 50  # before connections that still wait at the stop are given up
-PARTIAL_COMMAND_TIMEOUT = 1.0  # seconds that a stop waits for commands that are on their way
-CLOSE_INTERVAL = 0.01  # seconds between rounds over the connections that a stop has left
-LINGER_TIMEOUT = 0.3  # seconds that a stop leaves clients to close, by which they have read all answers
+MAX_ACCEPTS_PER_CALLBACK = (
+    16  # each takes a descriptor before the connection that makes room for it is closed
+)
+MAX_SETUP_ATTEMPTS = 3  # to make a connection of an accepted socket
+MAX_ACCEPT_FAILURES_AT_STOP = 50  # before connections that still wait at the stop are given up
+PARTIAL_COMMAND_TIMEOUT_S = 1.0  # seconds that a stop waits for commands that are on their way
+CLOSE_INTERVAL_S = 0.01  # seconds between rounds over the connections that a stop has left
+LINGER_TIMEOUT_S = 0.3  # seconds that a stop leaves clients to close, by which they have read all answers
 
 
 class ClientListener:
@@ -31,7 +33,7 @@
         self.port = 0  # known once it listens
         self._engine, self._loop = engine, loop
         self._listener: socket.socket
-        self._setups: set[asyncio.Task[None]] = set()  # of sockets that become connections
+        self._setup_tasks: set[asyncio.Task[None]] = set()  # of sockets that become connections
         self._deferred_since: float | None = None  # since when accepting waits for the system's resources
 
     async def listen(self, host: str, port: int) -> None:
@@ -52,7 +54,7 @@
 
     def _accept(self) -> None:
         """Accept waiting connections. Those that the system has no resources for wait until it has."""
-        for _ in range(MAX_ACCEPTS_PER_TURN):
+        for _ in range(MAX_ACCEPTS_PER_CALLBACK):
             try:
                 self._set_up(self._listener.accept()[0])
             except BlockingIOError:
@@ -68,7 +70,7 @@
         if self._deferred_since is None:
             self._deferred_since = self._loop.time()
         self._loop.remove_reader(self._listener)
-        self._loop.call_later(RETRY_INTERVAL, self._resume_accepting)
+        self._loop.call_later(RETRY_INTERVAL_S, self._resume_accepting)
 
     def _resume_accepting(self) -> None:
         if self._listener.fileno() < 0:
@@ -76,7 +78,7 @@
         try:
             self._loop.add_reader(self._listener, self._accept)
         except OSError:
-            self._loop.call_later(RETRY_INTERVAL, self._resume_accepting)
+            self._loop.call_later(RETRY_INTERVAL_S, self._resume_accepting)
 
     def _set_up(self, accepted: socket.socket) -> None:
         waiting_since = self._deferred_since
@@ -84,8 +86,8 @@
         if waiting_since is None and lag_since < self._loop.time():
             waiting_since = lag_since
         task = self._loop.create_task(self._connect(accepted, waiting_since))
-        self._setups.add(task)
-        task.add_done_callback(self._setups.discard)
+        self._setup_tasks.add(task)
+        task.add_done_callback(self._setup_tasks.discard)
 
     async def _connect(self, accepted: socket.socket, waiting_since: float | None) -> None:
         """Make a connection of a socket. Nothing is read before that, so a failed try loses nothing."""
@@ -94,7 +96,7 @@
         def new_connection() -> ClientConnection:
             return ClientConnection(self.connections, descriptor, waiting_since)
 
-        for _ in range(MAX_SETUP_TRIES):
+        for _ in range(MAX_SETUP_ATTEMPTS):
             try:
                 await self._loop.connect_accepted_socket(new_connection, accepted)
             except OSError:
@@ -115,10 +117,10 @@
         await asyncio.sleep(accept_time)
         self.connections.shutting_down = True
         await self._close_listener()
-        input_deadline = self._loop.time() + PARTIAL_COMMAND_TIMEOUT
+        input_deadline = self._loop.time() + PARTIAL_COMMAND_TIMEOUT_S
         await self._close_connections(input_deadline, deadline)
         self._engine.answer_all()
-        await self._close_connections(0.0, self._loop.time() + LINGER_TIMEOUT)
+        await self._close_connections(0.0, self._loop.time() + LINGER_TIMEOUT_S)
         for connection in list(self.connections.open):
             connection.abort()  # its client may never read
 
@@ -126,7 +128,7 @@
         """Close it, after accepting the connections that wait."""
         self._loop.remove_reader(self._listener)
         failures = 0
-        while failures < MAX_LAST_ACCEPT_FAILURES:
+        while failures < MAX_ACCEPT_FAILURES_AT_STOP:
             try:
                 self._set_up(self._listener.accept()[0])
             except BlockingIOError:
@@ -134,10 +136,10 @@
             except OSError as error:
                 failures += 1
                 if error.errno in RESOURCE_ERRORS:
-                    await asyncio.sleep(RETRY_INTERVAL / 10)
+                    await asyncio.sleep(RETRY_INTERVAL_S / 10)
         self._listener.close()
-        if self._setups:
-            await asyncio.wait(self._setups)
+        if self._setup_tasks:
+            await asyncio.wait(self._setup_tasks)
 
     async def _close_connections(self, input_deadline: float, deadline: float) -> None:
         """Close connections gracefully until there are none, or until `deadline`.
@@ -147,11 +149,11 @@
         while self.connections.open and (now := self._loop.time()) < deadline:
             readable = self._readable_descriptors()
             for connection in list(self.connections.open):
-                if connection.ended_at is not None and now - connection.ended_at > LINGER_TIMEOUT:
+                if connection.ended_at is not None and now - connection.ended_at > LINGER_TIMEOUT_S:
                     connection.abort()
                 elif connection.descriptor not in readable or now >= input_deadline:
                     connection.close(await_command=now < input_deadline)
-            await asyncio.sleep(CLOSE_INTERVAL)
+            await asyncio.sleep(CLOSE_INTERVAL_S)
 
     def _readable_descriptors(self) -> set[int]:
         """Return those of the connections that have unread input; all where the system can't tell."""
--- a/rushroad/proxy/configuration.py
+++ b/rushroad/proxy/configuration.py
@@ -27,7 +27,7 @@
 READ_BYTES = 64 * 1024  # read in one turn of the event loop
 RESERVED_SOCKETS = 32  # descriptors for the counter, discovery, the event loop and the standard streams
 UPSTREAM_SHARE = 0.25  # of the other descriptors, for connections to endpoints; the rest is for clients
-RELOAD_RETRY_TIME = 3.0  # seconds; a new configuration counts as notified 4 s after SIGHUP
+RELOAD_RETRY_TIME_S = 3.0  # seconds; a new configuration counts as notified 4 s after SIGHUP
 RELOAD_RETRIED_ERRORS = TRANSIENT_ERRORS | {errno.ENOENT}  # a file that is being replaced may be missing
 
 
@@ -137,7 +137,7 @@
 async def _reload(discovery: Discovery, counter: CounterClient | None) -> None:
     """Use the addresses in the new file. Where one of them can't be read, nothing changes."""
     try:
-        document = await retry_transient(read_document, RELOAD_RETRY_TIME, RELOAD_RETRIED_ERRORS)
+        document = await retry_transient(read_document, RELOAD_RETRY_TIME_S, RELOAD_RETRIED_ERRORS)
         discovery_address = read_address(document["discovery"])
         counter_address = None if counter is None else read_address(document["counter"])
     except (OSError, RecursionError, *UNEXPECTED_JSON_ERRORS) as error:
@@ -148,10 +148,12 @@
         counter.move(counter_address)
 
 
-async def _reload_at_each(hangup: asyncio.Event, discovery: Discovery, counter: CounterClient | None) -> None:
+async def _reload_on_sighup(
+    sighup_event: asyncio.Event, discovery: Discovery, counter: CounterClient | None
+) -> None:
     while True:
-        await hangup.wait()
-        hangup.clear()
+        await sighup_event.wait()
+        sighup_event.clear()
         await _reload(discovery, counter)
 
 
@@ -164,8 +166,8 @@
     loop: asyncio.AbstractEventLoop, discovery: Discovery, counter: CounterClient | None
 ) -> asyncio.Task[None]:
     """Reload the configuration at each SIGHUP from now on, one by one, until the task is cancelled."""
-    hangup = asyncio.Event()
-    loop.add_signal_handler(signal.SIGHUP, hangup.set)
-    reloads = loop.create_task(_reload_at_each(hangup, discovery, counter))
+    sighup_event = asyncio.Event()
+    loop.add_signal_handler(signal.SIGHUP, sighup_event.set)
+    reloads = loop.create_task(_reload_on_sighup(sighup_event, discovery, counter))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     return reloads
--- a/rushroad/proxy/connection_table.py
+++ b/rushroad/proxy/connection_table.py
@@ -7,16 +7,16 @@
 from typing import TYPE_CHECKING
 
 from rushroad.proxy.client_command import CommandSchema
-from rushroad.proxy.disconnect_poll import DisconnectPoll
+from rushroad.proxy.disconnect_poll import DisconnectPoller
 from rushroad.proxy.engine import Engine
 from rushroad.proxy.loop_lag import LoopLagMonitor
 
 if TYPE_CHECKING:
     from rushroad.proxy.client_connection import ClientConnection
 
-CLIENT_TIMEOUT = 2.0  # seconds for a first command, for the rest of one, and for reading answers
-SWEEP_INTERVAL = 0.25  # seconds
-MIN_IDLE_TIME = 2.0  # seconds that a connection stays open after its last answer
+CLIENT_TIMEOUT_S = 2.0  # seconds for a first command, for the rest of one, and for reading answers
+SWEEP_INTERVAL_S = 0.25  # seconds
+MIN_IDLE_TIME_S = 2.0  # seconds that a connection stays open after its last answer
 MAX_IDLE_FRACTION = 0.25  # of the limit on connections; of more that idle for longer the oldest are closed
 MAX_PENDING_FRACTION = 0.25  # of that limit; more with a running time-out make room among themselves
 MAX_UNREAD_BYTES = 8 << 20  # of answers that all clients may leave unread beyond their time-out
@@ -30,7 +30,7 @@
     ) -> None:
         self.engine, self.schema, self.loop = engine, schema, loop
         self.loop_lag = LoopLagMonitor(loop)
-        self.disconnect_poll = DisconnectPoll(loop)
+        self.disconnect_poller = DisconnectPoller(loop)
         self.open: set[ClientConnection] = set()
         self.shutting_down = False  # each connection closes as soon as nothing is unanswered on it
         self._max_connections = max_connections
@@ -42,7 +42,7 @@
         """Close what is timed out or has idled for long, now and again at each interval."""
         self._close_timed_out()
         self._close_idle()
-        self.loop.call_later(SWEEP_INTERVAL, self.sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def add(self, connection: ClientConnection) -> None:
         """Add a new connection; where there are too many, another one is closed.
@@ -54,9 +54,9 @@
         self.start_timeout(connection)
         if len(self.open) <= self._max_connections:
             return
-        silent = next((pending for pending in self._timeouts if not pending.unanswered), connection)
-        crowded = len(self._timeouts) > max(1, self._max_connections * MAX_PENDING_FRACTION)
-        evicted = silent if crowded else next(iter(self._idle_since), silent)
+        oldest_silent = next((pending for pending in self._timeouts if not pending.unanswered), connection)
+        too_many_pending = len(self._timeouts) > max(1, self._max_connections * MAX_PENDING_FRACTION)
+        evicted = oldest_silent if too_many_pending else next(iter(self._idle_since), oldest_silent)
         self.remove(evicted)
         evicted.abort()
 
@@ -65,7 +65,7 @@
         self.open.discard(connection)
         self._timeouts.pop(connection, None)
         self._idle_since.pop(connection, None)
-        self.disconnect_poll.unwatch(connection)
+        self.disconnect_poller.unwatch(connection)
 
     def start_timeout(self, connection: ClientConnection) -> None:
         """Give the client a limited time to act; one that runs already goes on."""
@@ -98,10 +98,10 @@
         unread_bytes = sum(pending.transport.get_write_buffer_size() for pending in self._timeouts)
         unread_bytes += connection.transport.get_write_buffer_size()
         waited = self.loop.time() - connection.unread_since
-        return waited < self.schema.longest_deadline and unread_bytes <= MAX_UNREAD_BYTES
+        return waited < self.schema.longest_deadline_s and unread_bytes <= MAX_UNREAD_BYTES
 
     def _close_timed_out(self) -> None:
-        started_before = self.loop.time() - CLIENT_TIMEOUT
+        started_before = self.loop.time() - CLIENT_TIMEOUT_S
         for connection, since in list(self._timeouts.items()):
             if since > started_before:
                 break
@@ -113,7 +113,7 @@
 
         Some clients ask once and keep their connection for good: others must find room before it is all used.
         """
-        idle_before = self.loop.time() - MIN_IDLE_TIME
+        idle_before = self.loop.time() - MIN_IDLE_TIME_S
         excess = len(self._idle_since) - int(self._max_connections * MAX_IDLE_FRACTION)
         for connection, since in list(islice(self._idle_since.items(), max(0, excess))):
             if since > idle_before:
--- a/rushroad/proxy/garbage_collection.py
+++ b/rushroad/proxy/garbage_collection.py
@@ -5,7 +5,7 @@
 import asyncio
 import gc
 
-FREEZE_AFTER = 10_000  # endpoint entries: a collection that visits so many takes about 2 ms
+FREEZE_AFTER_ENTRIES = 10_000  # a collection that visits so many endpoint entries takes about 2 ms
 
 
 class EndpointFreezer:
@@ -19,9 +19,9 @@
         self._added = 0  # entries since the last freeze
 
     def entries_added(self, count: int) -> None:
-        """Count entries of endpoint lists that the policy is given; freeze after FREEZE_AFTER of them."""
+        """Count entries of endpoint lists that the policy is given; freeze at FREEZE_AFTER_ENTRIES."""
         self._added += count
-        if self._added >= FREEZE_AFTER:
+        if self._added >= FREEZE_AFTER_ENTRIES:
             self._added = 0
             self._loop.call_soon(gc.freeze)  # when the policy has taken them in
 
--- a/rushroad/proxy/idle_resets.py
+++ b/rushroad/proxy/idle_resets.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-FIRST_STEP = 0.025  # seconds of idle time in the first step; each further step is twice as long
-STEPS = 12
+FIRST_BUCKET_S = 0.025  # seconds of idle time in the first bucket; each further bucket is twice as long
+BUCKET_COUNT = 12
 DECAY = 0.95  # weight left to earlier uses with each new one: about the last twenty count
 MAX_RESET_SHARE = 0.2  # of the uses; above it connections of this idle time are not reused
 ASSUMED_SUCCESSES = 8.0  # counted in advance, so that one reset by chance rules out no idle time
-PROBE_INTERVAL = 8  # one in so many idempotent requests probes an idle time that is ruled out
+REQUESTS_PER_PROBE = 8  # one in so many idempotent requests probes an idle time that is ruled out
 
 
-def _step(idle_time: float) -> int:
-    return min(STEPS - 1, int(idle_time / FIRST_STEP).bit_length())
+def _bucket(idle_time: float) -> int:
+    return min(BUCKET_COUNT - 1, int(idle_time / FIRST_BUCKET_S).bit_length())
 
 
 class IdleResetRates:
@@ -22,19 +22,19 @@
     """
 
     def __init__(self) -> None:
-        self._uses, self._resets = [0.0] * STEPS, [0.0] * STEPS
+        self._uses, self._resets = [0.0] * BUCKET_COUNT, [0.0] * BUCKET_COUNT
         self._probe_candidates = 0
 
     def record(self, idle_time: float, was_reset: bool) -> None:
         """Record whether a request, written after so many seconds idle, was reset before any byte came."""
-        step = _step(idle_time)
-        self._uses[step] = self._uses[step] * DECAY + 1.0
-        self._resets[step] = self._resets[step] * DECAY + was_reset
+        bucket = _bucket(idle_time)
+        self._uses[bucket] = self._uses[bucket] * DECAY + 1.0
+        self._resets[bucket] = self._resets[bucket] * DECAY + was_reset
 
     def may_reuse(self, idle_time: float, idempotent: bool) -> bool:
         """Return whether a request may go on a connection that has been idle for so many seconds."""
-        step = _step(idle_time)
-        if self._resets[step] <= MAX_RESET_SHARE * (self._uses[step] + ASSUMED_SUCCESSES):
+        bucket = _bucket(idle_time)
+        if self._resets[bucket] <= MAX_RESET_SHARE * (self._uses[bucket] + ASSUMED_SUCCESSES):
             return True
         self._probe_candidates += idempotent
-        return idempotent and self._probe_candidates % PROBE_INTERVAL == 0
+        return idempotent and self._probe_candidates % REQUESTS_PER_PROBE == 0
--- a/rushroad/proxy/loop_lag.py
+++ b/rushroad/proxy/loop_lag.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-PROBE_INTERVAL = 0.05  # seconds
-PROBE_TOLERANCE = 0.005  # seconds by which a probe may be late without counting as a stall
-BACKLOG_TIME = 0.05  # seconds after a stall in which input that waited through it may still be read
+PROBE_INTERVAL_S = 0.05  # seconds
+PROBE_TOLERANCE_S = 0.005  # seconds by which a probe may be late without counting as a stall
+BACKLOG_TIME_S = 0.05  # seconds after a stall in which input that waited through it may still be read
 
 
 class LoopLagMonitor:
@@ -19,15 +19,15 @@
 
     def probe(self) -> None:
         """Probe now, and again at each interval."""
-        now, due = self._loop.time(), self._probed_at + PROBE_INTERVAL
-        if now - due > PROBE_TOLERANCE:
-            self._stalled_since, self._backlog_until = due, now + BACKLOG_TIME
+        now, due = self._loop.time(), self._probed_at + PROBE_INTERVAL_S
+        if now - due > PROBE_TOLERANCE_S:
+            self._stalled_since, self._backlog_until = due, now + BACKLOG_TIME_S
         self._probed_at = now
-        self._loop.call_later(PROBE_INTERVAL, self.probe)
+        self._loop.call_later(PROBE_INTERVAL_S, self.probe)
 
     def waiting_since(self) -> float:
         """Return since when input that is read now may have waited for the loop; seconds of its clock."""
         now = self._loop.time()
         if now <= self._backlog_until:
             return self._stalled_since
-        return min(now, self._probed_at + PROBE_INTERVAL)
+        return min(now, self._probed_at + PROBE_INTERVAL_S)
--- a/rushroad/proxy/nonblocking_log.py
+++ b/rushroad/proxy/nonblocking_log.py
@@ -8,10 +8,10 @@
 import time
 from typing import Any
 
-STANDARD_ERROR = 2  # file descriptor
+STDERR_FD = 2  # file descriptor
 MAX_LINES_PER_SECOND = 20  # a peer that sends only malformed data must not fill the log
 MAX_LINE_BYTES = 4_000  # with its end; a pipe that polls as writable takes PIPE_BUF bytes (4,096) at once
-REPORT_INTERVAL = 1.0  # seconds between attempts to report how many lines were dropped
+REPORT_INTERVAL_S = 1.0  # seconds between attempts to report how many lines were dropped
 PREFIX = "rushroad: "
 
 
@@ -27,17 +27,17 @@
         self._dropped = 0  # lines that could not be written and are not reported yet
         self._report_scheduled = False
         self._poll = select.poll()
-        self._poll.register(STANDARD_ERROR, select.POLLOUT)
+        self._poll.register(STDERR_FD, select.POLLOUT)
 
     def __call__(self, message: str) -> None:
         """Write a line, unless the limit per second is reached or standard error has no room."""
         second = int(time.monotonic())
         if second != self._current_second:
-            left_out = self._lines_in_second - MAX_LINES_PER_SECOND
+            suppressed = self._lines_in_second - MAX_LINES_PER_SECOND
             self._current_second, self._lines_in_second = second, 0
-            if left_out > 0:
+            if suppressed > 0:
                 self._write_or_drop(
-                    f"{left_out} more log lines left out: over the limit of {MAX_LINES_PER_SECOND} a second"
+                    f"{suppressed} more log lines left out: over the limit of {MAX_LINES_PER_SECOND} a second"
                 )
         self._lines_in_second += 1
         if self._lines_in_second <= MAX_LINES_PER_SECOND:
@@ -66,7 +66,7 @@
             ready = self._poll.poll(0)
             if not ready or not ready[0][1] & select.POLLOUT:
                 return False
-            os.write(STANDARD_ERROR, line + b"\n")
+            os.write(STDERR_FD, line + b"\n")
         except OSError:  # a full device, or a reader that has closed the pipe
             return False
         return True
@@ -80,7 +80,7 @@
         except RuntimeError:  # before the loop runs, or after its end
             return
         self._report_scheduled = True
-        loop.call_later(REPORT_INTERVAL, self._report_later)
+        loop.call_later(REPORT_INTERVAL_S, self._report_later)
 
     def _report_later(self) -> None:
         self._report_scheduled = False
--- a/rushroad/proxy/transient_errors.py
+++ b/rushroad/proxy/transient_errors.py
@@ -13,15 +13,15 @@
 ADDRESS_ERRORS = frozenset({errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENETDOWN})
 FILE_ERRORS = frozenset({errno.EBUSY, errno.EIO, errno.ESTALE, errno.ETIMEDOUT})
 TRANSIENT_ERRORS = RESOURCE_ERRORS | ADDRESS_ERRORS | FILE_ERRORS
-START_RETRY_TIME = 20.0  # seconds for which a start retries; the gateway has to be ready within 30
-RETRY_INTERVAL = 0.05  # seconds between attempts
-POLL_ATTEMPTS = 3
+START_RETRY_TIME_S = 20.0  # seconds for which a start retries; the gateway has to be ready within 30
+RETRY_INTERVAL_S = 0.05  # seconds between attempts
+MAX_POLL_ATTEMPTS = 3
 T = TypeVar("T")
 
 
 async def retry_transient(
-    action: Callable[[], Awaitable[T]],
-    retry_time: float = START_RETRY_TIME,
+    operation: Callable[[], Awaitable[T]],
+    retry_time: float = START_RETRY_TIME_S,
     retried_errors: frozenset[int] = TRANSIENT_ERRORS,
 ) -> T:
     """Return the action's result, retrying for `retry_time` seconds where it fails with one of these errors.
@@ -31,14 +31,14 @@
     retry_until = time.monotonic() + retry_time
     while True:
         try:
-            return await action()
+            return await operation()
         except OSError as error:
             if error.errno not in retried_errors or time.monotonic() > retry_until:
                 raise
-        await asyncio.sleep(RETRY_INTERVAL)
+        await asyncio.sleep(RETRY_INTERVAL_S)
 
 
-def readable(descriptor: int) -> bool:
+def is_readable(descriptor: int) -> bool:
     """Whether data or an end of stream waits on a descriptor; True where the system can't tell."""
     poll = select.poll()
     poll.register(descriptor, select.POLLIN)
@@ -47,7 +47,7 @@
 
 def poll_now(poll: select.poll) -> list[tuple[int, int]] | None:
     """Return the descriptors that are ready now and their events; None where the system can't tell."""
-    for _ in range(POLL_ATTEMPTS):
+    for _ in range(MAX_POLL_ATTEMPTS):
         try:
             return poll.poll(0)
         except OSError:  # out of memory for a moment
--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -4,13 +4,13 @@
 
 from rushroad.proxy import discovery, endpoint_decoder
 from rushroad.proxy.nonblocking_log import NonBlockingLog
-from tests.support.client_side import Play, play_scenario
+from tests.support.client_side import RunScenario, run_client_scenario
 
 
 @pytest.fixture
-def play() -> Play:
+def run_scenario() -> RunScenario:
     """Runs a scenario on the client side of a gateway, whose engine records what it is asked."""
-    return play_scenario
+    return run_client_scenario
 
 
 @pytest.fixture
--- a/tests/proxy/test_arrival_times.py
+++ b/tests/proxy/test_arrival_times.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rushroad.proxy.arrival_times import CATCH_UP_TIME, LARGE_READ_BYTES, ArrivalTimes
+from rushroad.proxy.arrival_times import CATCH_UP_TIME_S, LARGE_READ_BYTES, ArrivalTimes
 
 
 @pytest.fixture
@@ -18,10 +18,10 @@
     arrivals.reading_paused(5.01)  # the rest of the backlog still waits
     arrivals.reading_resumed(readable=True)
     arrivals.record(LARGE_READ_BYTES, 6.0)
-    arrivals.record(10, 6.0 + CATCH_UP_TIME)  # the system, or the peer, held more than one read returns
-    arrivals.record(10, 6.1 + CATCH_UP_TIME)
+    arrivals.record(10, 6.0 + CATCH_UP_TIME_S)  # the system, or the peer, held more than one read returns
+    arrivals.record(10, 6.1 + CATCH_UP_TIME_S)
     ends = [10, 20, 20 + LARGE_READ_BYTES, 30 + LARGE_READ_BYTES, 40 + LARGE_READ_BYTES]
-    assert [arrivals.arrival_of(end) for end in ends] == [1.0, 2.0, 2.0, 2.0, 6.1 + CATCH_UP_TIME]
+    assert [arrivals.arrival_of(end) for end in ends] == [1.0, 2.0, 2.0, 2.0, 6.1 + CATCH_UP_TIME_S]
 
 
 def test_bytes_after_a_pause_without_a_backlog_count_from_their_read(arrivals: ArrivalTimes) -> None:
--- a/tests/proxy/test_client_command.py
+++ b/tests/proxy/test_client_command.py
@@ -4,11 +4,13 @@
 
 import pytest
 
-from tests.support.client_side import PING, PONG, ClientSide, Play
+from tests.support.client_side import PING, PONG, ClientSide, RunScenario
 from tests.support.loopback import TENANT, resp
 
 
-def test_call_received_byte_by_byte_is_parsed_and_forwarded_with_its_time_remaining(play: Play) -> None:
+def test_call_received_byte_by_byte_is_parsed_and_forwarded_with_its_time_remaining(
+    run_scenario: RunScenario,
+) -> None:
     async def scenario(gateway: ClientSide) -> None:
         _, writer = await gateway.connect()
         options = b"c=order,t=basic,d=480,units=1.5,spread=3,first=1,r=1,k=d=7"
@@ -27,11 +29,11 @@
         )
         assert command.forwarded_command(123_456) == data.replace(b",d=480,", b",d=123,")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         (b"GET", b"x"),
         (b"CALL.GET",),
@@ -76,13 +78,13 @@
     ],
 )
 def test_invalid_command_is_answered_with_an_error_and_the_connection_goes_on(
-    play: Play, words: tuple[bytes, ...]
+    run_scenario: RunScenario, arguments: tuple[bytes, ...]
 ) -> None:
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
-        writer.write(resp(*words) + PING)
+        writer.write(resp(*arguments) + PING)
         assert (await reader.readline()).startswith(b"-ERR ")
         assert await reader.readline() == PONG
         assert gateway.engine.calls.empty()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -3,11 +3,11 @@
 import pytest
 
 from rushroad.proxy.client_connection import MAX_UNANSWERED
-from tests.support.client_side import PING, PONG, ClientSide, Play
+from tests.support.client_side import PING, PONG, ClientSide, RunScenario
 from tests.support.loopback import call, resp
 
 
-def test_answers_keep_the_order_of_the_commands(play: Play) -> None:
+def test_answers_keep_the_order_of_the_commands(run_scenario: RunScenario) -> None:
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
         writer.write(call(1) + call(2) + PING + call(3))
@@ -21,7 +21,7 @@
         (await gateway.engine.calls.get()).reject(0)
         assert await reader.readexactly(7) == b"-BUSY\r\n"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -45,7 +45,7 @@
     ],
 )
 def test_malformed_input_is_answered_after_earlier_commands_and_closes_the_connection(
-    play: Play, data: bytes
+    run_scenario: RunScenario, data: bytes
 ) -> None:
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
@@ -62,10 +62,10 @@
         assert (await reader.readline()).startswith(b"-ERR ")
         assert await reader.read() == b""
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_disconnect_cancels_unanswered_requests_and_drops_their_answers(play: Play) -> None:
+def test_disconnect_cancels_unanswered_requests_and_drops_their_answers(run_scenario: RunScenario) -> None:
     async def scenario(gateway: ClientSide) -> None:
         _, writer = await gateway.connect()
         writer.write(call(1) + call(2))
@@ -77,10 +77,10 @@
         assert gateway.engine.disconnected.empty()
         assert not gateway.connections.open
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_id_of_a_request_in_flight_is_refused(play: Play) -> None:
+def test_id_of_a_request_in_flight_is_refused(run_scenario: RunScenario) -> None:
     # At a rate server it would be a second copy of the request that is in flight.
     async def scenario(gateway: ClientSide) -> None:
         gateway.engine.ids_in_flight.add(b"%016x" % 1)
@@ -90,10 +90,10 @@
         assert await reader.readline() == PONG
         assert gateway.engine.calls.empty()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_input_after_a_malformed_command_is_not_read(play: Play) -> None:
+def test_input_after_a_malformed_command_is_not_read(run_scenario: RunScenario) -> None:
     # A client may go on sending at full speed while an earlier answer is due: reading that costs CPU time.
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
@@ -104,10 +104,12 @@
         command.fail()
         assert await reader.read() == b"-ERR failed\r\n-ERR Protocol error: an unexpected type\r\n"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_unanswered_commands_of_a_connection_are_limited_and_all_are_answered(play: Play) -> None:
+def test_unanswered_commands_of_a_connection_are_limited_and_all_are_answered(
+    run_scenario: RunScenario,
+) -> None:
     # Hundreds of commands at once would fill memory and delay other clients; they wait in the socket.
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
@@ -124,12 +126,14 @@
         assert await reader.readline() == PONG
         assert connection.transport.is_reading()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_reading_pauses_after_an_invalid_command(play: Play, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reading_pauses_after_an_invalid_command(
+    run_scenario: RunScenario, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # A client that sends the same again as soon as it is refused must not take the others' CPU time.
-    monkeypatch.setattr("rushroad.proxy.client_connection.INVALID_COMMAND_PAUSE", 0.02)
+    monkeypatch.setattr("rushroad.proxy.client_connection.INVALID_COMMAND_PAUSE_S", 0.02)
 
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
@@ -141,4 +145,4 @@
         assert await reader.readline() == PONG
         assert connection.transport.is_reading()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/proxy/test_client_listener.py
+++ b/tests/proxy/test_client_listener.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from tests.support.client_side import PING, PONG, ClientSide, Play
+from tests.support.client_side import PING, PONG, ClientSide, RunScenario
 from tests.support.loopback import LOCAL, call
 
 
-def test_stop_answers_requests_in_flight_then_closes_all_connections(play: Play) -> None:
+def test_stop_answers_requests_in_flight_then_closes_all_connections(run_scenario: RunScenario) -> None:
     async def scenario(gateway: ClientSide) -> None:
         idle, busy = await gateway.connect(), await gateway.connect()
         busy[1].write(call(1))
@@ -30,13 +30,13 @@
         with pytest.raises(ConnectionRefusedError):
             await gateway.connect()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_partial_command_delays_the_stop_for_a_limited_time(
-    play: Play, monkeypatch: pytest.MonkeyPatch
+    run_scenario: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("rushroad.proxy.client_listener.PARTIAL_COMMAND_TIMEOUT", 0.02)
+    monkeypatch.setattr("rushroad.proxy.client_listener.PARTIAL_COMMAND_TIMEOUT_S", 0.02)
 
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
@@ -47,11 +47,13 @@
         assert await reader.read() == b"$1\r\nx\r\n"
         await stopping
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_client_that_never_reads_does_not_delay_the_stop(play: Play, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("rushroad.proxy.client_listener.PARTIAL_COMMAND_TIMEOUT", 0.02)
+def test_client_that_never_reads_does_not_delay_the_stop(
+    run_scenario: RunScenario, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr("rushroad.proxy.client_listener.PARTIAL_COMMAND_TIMEOUT_S", 0.02)
 
     async def scenario(gateway: ClientSide) -> None:
         _, writer = await gateway.connect()
@@ -62,7 +64,7 @@
         while gateway.connections.open:
             await asyncio.sleep(0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.fixture
@@ -95,7 +97,7 @@
 
 
 def test_connection_that_arrives_as_the_listener_closes_is_accepted(
-    play: Play, before_listener_closes: Callable[[Callable[[], None]], None]
+    run_scenario: RunScenario, before_listener_closes: Callable[[Callable[[], None]], None]
 ) -> None:
     async def scenario(gateway: ClientSide) -> None:
         connected = asyncio.Event()
@@ -114,11 +116,11 @@
             client.close()
             await stopping
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_request_that_arrives_as_the_listener_closes_is_answered(
-    play: Play, before_listener_closes: Callable[[Callable[[], None]], None]
+    run_scenario: RunScenario, before_listener_closes: Callable[[Callable[[], None]], None]
 ) -> None:
     async def scenario(gateway: ClientSide) -> None:
         loop = asyncio.get_running_loop()
@@ -132,10 +134,10 @@
             client.close()
             await stopping
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_further_requests_on_busy_connections_are_rejected_during_the_stop(play: Play) -> None:
+def test_further_requests_on_busy_connections_are_rejected_during_the_stop(run_scenario: RunScenario) -> None:
     # It would never be without unanswered requests: clients send on every connection that stays open.
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
@@ -155,10 +157,10 @@
         writer.close()
         await stopping
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_requests_in_flight_are_answered_at_the_time_limit_of_the_stop(play: Play) -> None:
+def test_requests_in_flight_are_answered_at_the_time_limit_of_the_stop(run_scenario: RunScenario) -> None:
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
         writer.write(call(1) + call(2))
@@ -168,4 +170,4 @@
         writer.close()
         await stopping
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/proxy/test_connection_table.py
+++ b/tests/proxy/test_connection_table.py
@@ -6,11 +6,11 @@
 import pytest
 
 from rushroad.proxy.client_connection import ClientConnection
-from tests.support.client_side import PING, PONG, ClientSide, Play
+from tests.support.client_side import PING, PONG, ClientSide, RunScenario
 from tests.support.loopback import SCHEMA, call
 
 
-def test_new_connection_over_the_limit_closes_the_longest_idle_one(play: Play) -> None:
+def test_new_connection_over_the_limit_closes_the_longest_idle_one(run_scenario: RunScenario) -> None:
     async def scenario(gateway: ClientSide) -> None:
         busy, idle = await gateway.connect(), await gateway.connect()
         busy[1].write(call(1))
@@ -24,15 +24,15 @@
         command.fail()
         assert await busy[0].readline() == b"-ERR failed\r\n"
 
-    play(scenario, max_connections=2)
+    run_scenario(scenario, max_connections=2)
 
 
 @pytest.mark.parametrize("start", [b"", call(1)[:-5], PING + call(1)[:-5]])
 def test_connection_with_an_unfinished_command_times_out(
-    play: Play, start: bytes, monkeypatch: pytest.MonkeyPatch
+    run_scenario: RunScenario, start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("rushroad.proxy.connection_table.CLIENT_TIMEOUT", 0.02)
-    monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL", 0.01)
+    monkeypatch.setattr("rushroad.proxy.connection_table.CLIENT_TIMEOUT_S", 0.02)
+    monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL_S", 0.01)
 
     async def scenario(gateway: ClientSide) -> None:
         idle_reader, idle = await gateway.connect()
@@ -48,27 +48,27 @@
         idle.write(PING)
         assert await idle_reader.readline() == PONG
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_many_silent_connections_close_only_each_other(play: Play) -> None:
+def test_many_silent_connections_close_only_each_other(run_scenario: RunScenario) -> None:
     async def scenario(gateway: ClientSide) -> None:
         served = [await gateway.connect() for _ in range(4)]
         for reader, writer in served:
             writer.write(PING)
             assert await reader.readline() == PONG
         silent = [await gateway.connect() for _ in range(20)]
-        for reader, _ in silent[:16]:  # the oldest; four of the eight connections are theirs
+        for reader, _ in silent[:16]:  # the oldest ones; four of the eight connections are theirs
             assert await reader.read() == b""
         assert len(gateway.connections.open) == 8
         for reader, writer in served + silent[16:]:
             writer.write(PING)
             assert await reader.readline() == PONG
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_new_connection_over_the_limit_is_closed_when_all_others_are_busy(play: Play) -> None:
+def test_new_connection_over_the_limit_is_closed_when_all_others_are_busy(run_scenario: RunScenario) -> None:
     async def scenario(gateway: ClientSide) -> None:
         ends = [await gateway.connect() for _ in range(2)]
         for number, (_, writer) in enumerate(ends):
@@ -80,23 +80,27 @@
             command.fail()
             assert await reader.readline() == b"-ERR failed\r\n"
 
-    play(scenario, max_connections=2)
+    run_scenario(scenario, max_connections=2)
 
 
 @pytest.mark.parametrize(
-    ("longest_deadline", "max_unread_mib", "kept"), [(60.0, 64, True), (0.0, 64, False), (60.0, 1, False)]
+    ("longest_deadline_s", "max_unread_mib", "kept"), [(60.0, 64, True), (0.0, 64, False), (60.0, 1, False)]
 )
 def test_unread_answers_are_kept_until_the_longest_deadline_within_a_memory_limit(
-    play: Play, longest_deadline: float, max_unread_mib: int, kept: bool, monkeypatch: pytest.MonkeyPatch
+    run_scenario: RunScenario,
+    longest_deadline_s: float,
+    max_unread_mib: int,
+    kept: bool,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Aborted earlier, the client would lose answers that it still waits for; the memory for them is bounded.
-    monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL", 0.01)
-    monkeypatch.setattr("rushroad.proxy.connection_table.CLIENT_TIMEOUT", 0.0)
+    monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL_S", 0.01)
+    monkeypatch.setattr("rushroad.proxy.connection_table.CLIENT_TIMEOUT_S", 0.0)
     monkeypatch.setattr("rushroad.proxy.connection_table.MAX_UNREAD_BYTES", max_unread_mib << 20)
     timed_out = asyncio.Event()
 
     async def scenario(gateway: ClientSide) -> None:
-        gateway.connections.schema = replace(SCHEMA, longest_deadline=longest_deadline)
+        gateway.connections.schema = replace(SCHEMA, longest_deadline_s=longest_deadline_s)
         reader, writer = await gateway.connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(call(1) + call(2))
@@ -118,13 +122,15 @@
             assert (await reader.readexactly((16 << 20) + 2)).endswith(b"x\r\n")
             assert await reader.readline() == b"-ERR failed\r\n"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_oldest_of_many_idle_connections_are_closed(play: Play, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_oldest_of_many_idle_connections_are_closed(
+    run_scenario: RunScenario, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # Some clients ask once and keep their connection for good: others must find room.
-    monkeypatch.setattr("rushroad.proxy.connection_table.MIN_IDLE_TIME", 0.0)
-    monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL", 0.01)
+    monkeypatch.setattr("rushroad.proxy.connection_table.MIN_IDLE_TIME_S", 0.0)
+    monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL_S", 0.01)
 
     async def scenario(gateway: ClientSide) -> None:
         ends = [await gateway.connect() for _ in range(4)]
@@ -137,14 +143,14 @@
             writer.write(PING)
             assert await reader.readline() == PONG
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_ended_connection_whose_client_never_closes_times_out(
-    play: Play, monkeypatch: pytest.MonkeyPatch
+    run_scenario: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Otherwise it would keep its descriptor for good: it is not idle, so it makes room for no other.
-    monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL", 0.01)
+    monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL_S", 0.01)
 
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
@@ -155,8 +161,8 @@
         assert connection.ended_at is not None and connection.transport.get_write_buffer_size()
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         assert (await reader.read()).endswith(b"unexpected type\r\n")
-        monkeypatch.setattr("rushroad.proxy.connection_table.CLIENT_TIMEOUT", 0.0)
+        monkeypatch.setattr("rushroad.proxy.connection_table.CLIENT_TIMEOUT_S", 0.0)
         while gateway.connections.open:
             await asyncio.sleep(0)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/proxy/test_disconnect_poll.py
+++ b/tests/proxy/test_disconnect_poll.py
@@ -5,14 +5,14 @@
 import pytest
 
 from rushroad.proxy.client_connection import MAX_UNANSWERED
-from tests.support.client_side import ClientSide, Play
+from tests.support.client_side import ClientSide, RunScenario
 from tests.support.loopback import call
 
 
 @pytest.mark.parametrize("max_unanswered", [1, MAX_UNANSWERED])
 @pytest.mark.parametrize("abrupt", [True, False])
 def test_disconnect_is_noticed_while_reading_is_paused(
-    play: Play, max_unanswered: int, abrupt: bool, monkeypatch: pytest.MonkeyPatch
+    run_scenario: RunScenario, max_unanswered: int, abrupt: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Otherwise its commands, and those that wait unread behind them, would still be forwarded.
     monkeypatch.setattr("rushroad.proxy.client_connection.MAX_UNANSWERED", max_unanswered)
@@ -33,10 +33,10 @@
             await asyncio.sleep(0)
         assert gateway.engine.calls.empty()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_disconnect_is_noticed_while_answers_are_unread(play: Play) -> None:
+def test_disconnect_is_noticed_while_answers_are_unread(run_scenario: RunScenario) -> None:
     async def scenario(gateway: ClientSide) -> None:
         _, writer = await gateway.connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -47,4 +47,4 @@
         writer.write_eof()
         assert await gateway.engine.disconnected.get() == 2
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/proxy/test_garbage_collection.py
+++ b/tests/proxy/test_garbage_collection.py
@@ -6,14 +6,14 @@
 import pytest
 
 from rushroad.proxy.endpoint_decoder import MAX_ENDPOINTS_PER_PART
-from rushroad.proxy.garbage_collection import FREEZE_AFTER, EndpointFreezer
+from rushroad.proxy.garbage_collection import FREEZE_AFTER_ENTRIES, EndpointFreezer
 from tests.support.loopback import run
 
 
 def test_endpoints_are_frozen_after_each_ten_thousand_entries(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         freezer = EndpointFreezer(asyncio.get_running_loop())
-        for _ in range(3 * FREEZE_AFTER // MAX_ENDPOINTS_PER_PART):
+        for _ in range(3 * FREEZE_AFTER_ENTRIES // MAX_ENDPOINTS_PER_PART):
             freezer.entries_added(MAX_ENDPOINTS_PER_PART)
             await asyncio.sleep(0)
 
--- a/tests/proxy/test_nonblocking_log.py
+++ b/tests/proxy/test_nonblocking_log.py
@@ -38,7 +38,7 @@
 def log_pipe(monkeypatch: pytest.MonkeyPatch) -> Iterator[LogPipe]:
     reader, writer = os.pipe()
     os.set_blocking(reader, False)
-    monkeypatch.setattr(nonblocking_log, "STANDARD_ERROR", writer)
+    monkeypatch.setattr(nonblocking_log, "STDERR_FD", writer)
     yield LogPipe(reader)
     os.close(reader)
     os.close(writer)
@@ -54,8 +54,8 @@
     assert log_pipe.read_lines() == [f"rushroad: line {n}" for n in range(MAX_LINES_PER_SECOND)]
     now = 101.0
     log_pipe.log("next")
-    left_out = f"rushroad: 3 more log lines left out: over the limit of {MAX_LINES_PER_SECOND} a second"
-    assert log_pipe.read_lines() == [left_out, "rushroad: next"]
+    suppressed = f"rushroad: 3 more log lines left out: over the limit of {MAX_LINES_PER_SECOND} a second"
+    assert log_pipe.read_lines() == [suppressed, "rushroad: next"]
 
 
 def test_lines_that_find_the_pipe_full_are_dropped_and_counted_before_the_next(log_pipe: LogPipe) -> None:
@@ -77,7 +77,7 @@
             await asyncio.sleep(0.001)
         assert lines == ["rushroad: 1 log lines dropped: standard error could not be written"]
 
-    monkeypatch.setattr(nonblocking_log, "REPORT_INTERVAL", 0.01)
+    monkeypatch.setattr(nonblocking_log, "REPORT_INTERVAL_S", 0.01)
     run(scenario)
 
 
--- a/tests/support/client_side.py
+++ b/tests/support/client_side.py
@@ -33,12 +33,12 @@
 Scenario = Callable[[ClientSide], Awaitable[None]]
 
 
-class Play(Protocol):
+class RunScenario(Protocol):
     def __call__(self, scenario: Scenario, max_connections: int = 8) -> None:
         """Run a scenario on a client side that listens; its connections are aborted afterwards."""
 
 
-def play_scenario(scenario: Scenario, max_connections: int = 8) -> None:
+def run_client_scenario(scenario: Scenario, max_connections: int = 8) -> None:
     async def start() -> None:
         gateway = ClientSide(max_connections)
         await gateway.listener.listen(LOCAL, 0)
