--- a/rushroad/proxy/client_command.py
+++ b/rushroad/proxy/client_command.py
@@ -1,4 +1,4 @@
-"""One command of a client: its arguments are validated and mapped to our terms here, and it is answered."""
+"""Client commands: validation, translation into the terms of the policy, and answers."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     from rushroad.proxy.client_connection import ClientConnection
 
 CALL_GET, CALL_POST, PING = b"CALL.GET", b"CALL.POST", b"PING"
-CALL_ARGUMENT_COUNTS = {CALL_GET: 4, CALL_POST: 5}  # by name, which is one of the arguments
-TENANT_LIMIT = 1 << 33  # tenants are numbered below this
+CALL_ARGUMENT_COUNTS = {CALL_GET: 4, CALL_POST: 5}  # by command name, which is counted
+TENANT_LIMIT = 1 << 33  # exclusive upper bound of tenant numbers
 TENANT_PATTERN = re.compile(rb"[0-9a-f]{16}")
 ID_PATTERN = re.compile(rb"[0-9A-Za-z._:-]{1,64}")
 TEXT_PATTERN = re.compile(rb"[^\0- ]{1,128}")
 INTEGER_PATTERN = re.compile(rb"\d{1,9}")
-OPTION_PATTERNS = {  # by name, in the operators' arguments; a call may have no other options
+OPTION_PATTERNS = {  # by option name on the wire; calls with any other option are invalid
     b"c": TEXT_PATTERN,
     b"t": TEXT_PATTERN,
     b"k": TEXT_PATTERN,
@@ -34,23 +34,23 @@
 
 
 class InvalidCommandError(ValueError):
-    """A client's command is not valid; the message is the text of its error answer."""
+    """A client's command is invalid; the message is sent to the client as the error text."""
 
 
 @dataclass(frozen=True, slots=True)
 class CommandSchema:
-    """What the calls of this deployment may contain."""
+    """The valid values in calls of a deployment."""
 
     class_indexes: dict[bytes, int]  # request classes by name
-    requires_post: tuple[bool, ...]  # by request class: its requests have to come as CALL.POST
+    requires_post: tuple[bool, ...]  # by request class; False means that CALL.GET is required
     plan_indexes: dict[bytes, int]  # plans by name
-    max_units: float  # of one request
-    fleet_size: int  # gateways
-    longest_deadline_s: float = 0.0  # seconds; of all request classes
+    max_units: float  # per request
+    fleet_size: int  # number of gateways
+    longest_deadline_s: float = 0.0  # over all request classes
 
     @classmethod
     def from_settings(cls, settings: Settings, proxy_settings: ProxySettings) -> CommandSchema:
-        """Return the schema of a deployment with these settings."""
+        """Build the schema from the settings of a deployment."""
         classes = settings.request_classes
         return cls(
             {name.encode(): index for name, index in proxy_settings.class_indexes.items()},
@@ -63,7 +63,10 @@
 
 
 def parse_options(text: bytes) -> dict[bytes, bytes]:
-    """Return the options of a call by their names; raise InvalidCommandError where one is not valid."""
+    """Return the options of a call by name.
+
+    Raises InvalidCommandError if an option is invalid, unknown or repeated.
+    """
     options: dict[bytes, bytes] = {}
     for item in text.split(b","):
         name, _, value = item.partition(b"=")
@@ -75,7 +78,7 @@
 
 
 class ClientCommand:
-    """One command of a client, from its parsing to its answer; a call is a request to the engine."""
+    """A command of a client, from parsing to its answer. A call is submitted to the engine as a request."""
 
     __slots__ = (
         "answer",
@@ -96,17 +99,16 @@
 
     def __init__(self, connection: ClientConnection, arrived_at_s: float) -> None:
         self.connection = connection
-        self.arrived_at_s = (
-            arrived_at_s  # when its last byte arrived, at the latest; seconds of the loop's clock
-        )
+        self.arrived_at_s = arrived_at_s  # earliest time at which its last byte can have arrived
         self.answer: bytes | None = None
-        self.request_id = 0  # the engine's, while it owes the answer; else 0
+        self.request_id = 0  # assigned by the engine; 0 while no answer from the engine is due
         self.arguments: list[bytes] = []
 
     def parse_call(self, arguments: list[bytes], schema: CommandSchema) -> None:
-        """Take over the arguments of a call; raise InvalidCommandError unless all of them are valid.
+        """Parse the arguments of a call; raise InvalidCommandError if any of them is invalid.
 
-        The arguments go on to rate servers as they are, so this is the only check of what those are sent.
+        The arguments are forwarded to rate servers unchanged, except for the deadline, so there is no later
+        validation.
         """
         if len(arguments) != CALL_ARGUMENT_COUNTS[arguments[0]]:
             raise InvalidCommandError("wrong number of arguments")
@@ -133,7 +135,10 @@
             raise InvalidCommandError("number out of range")
 
     def poll_disconnect(self) -> bool:
-        """Return whether its client has closed; the engine is then told of all requests on the connection."""
+        """Return whether the client has disconnected.
+
+        If so, the engine has been notified for all requests on the connection.
+        """
         return self.connection.poll_disconnect()
 
     def forwarded_command(self, time_remaining_us: int) -> bytes:
@@ -148,21 +153,21 @@
         self._answer(b"$%d\r\n%b\r\n" % (len(value), value))
 
     def reject(self, retry_after_us: int) -> None:
-        """Answer that it is rejected; a client may retry after so many microseconds, where this is not 0."""
+        """Answer that the request is rejected; 0 means that no Retry-After is given."""
         self._answer(
             b"-BUSY %d\r\n" % math.ceil(retry_after_us / 1_000) if retry_after_us > 0 else b"-BUSY\r\n"
         )
 
     def fail(self) -> None:
-        """Answer that it failed."""
+        """Answer that the request failed."""
         self._answer(b"-ERR failed\r\n")
 
     def refuse(self, error: str) -> None:
-        """Answer that it is not valid, and why."""
+        """Answer that the command is invalid, with the reason."""
         self._answer(b"-ERR %b\r\n" % error.encode())
 
     def answer_ping(self, arguments: list[bytes]) -> None:
-        """Answer a PING; raise InvalidCommandError where it is another command."""
+        """Answer a PING; raise InvalidCommandError for any other command."""
         if arguments[0].upper() != PING:
             raise InvalidCommandError("unknown command")
         self._answer(b"+PONG\r\n")
--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: reads pipelined commands, and answers them in their order."""
+"""Client connections: read pipelined commands and write the answers in the same order."""
 
 from __future__ import annotations
 
@@ -13,16 +13,18 @@
 from rushroad.proxy.disconnect_poll import has_disconnected
 from rushroad.proxy.transient_errors import is_readable
 
-MAX_ARGUMENTS = 16  # of a command; more than clients and their libraries send in any
-MAX_UNANSWERED = 64  # commands of a connection; further ones are not processed yet
-MAX_COMMANDS_PER_BATCH = 64  # processed from one connection before others have their turn
-INVALID_COMMAND_PAUSE_S = 0.05  # seconds without reading: repeats must not take the other clients' CPU time
-READ_AHEAD_BYTES = 8 * 1024  # of commands that are not processed yet; arrival times are less exact beyond
-MAX_LINGERING_READ_BYTES = 256 * 1024  # unread bytes at close would reset the connection and lose answers
+MAX_ARGUMENTS = 16  # per command; more than any command of clients and their libraries has
+MAX_UNANSWERED = 64  # pipelined commands of a connection; later ones wait until earlier ones are answered
+MAX_COMMANDS_PER_BATCH = 64  # processed on one connection before other connections are served
+INVALID_COMMAND_PAUSE_S = 0.05  # reading pauses, so that repeated invalid commands do not use up CPU time
+READ_AHEAD_BYTES = (
+    8 * 1024
+)  # of unprocessed commands; beyond, reading pauses and arrival times are less exact
+MAX_LINGERING_READ_BYTES = 256 * 1024  # closing with unread bytes would reset the connection and lose answers
 
 
 class BlockReason:
-    """Why no commands are processed from a connection for now; bits, as several reasons may hold at once."""
+    """Why commands of a connection are not processed; bit flags, as several reasons can hold at once."""
 
     PIPELINE_FULL = 1
     BATCH_ENDED = 2
@@ -30,34 +32,34 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client connection, from its set-up to its lingering close."""
+    """A client connection, from its set-up to its lingering close."""
 
     def __init__(self, table: ConnectionTable, descriptor: int, waiting_since: float | None = None) -> None:
-        """Take over a socket; `waiting_since` tells since when it may have waited, if accepting was late."""
+        """Create a connection; `waiting_since` is when its socket may have arrived, if accepting was late."""
         self._table, self.descriptor = table, descriptor
         self._reader = resp.Reader(MAX_ARGUMENTS)
         self._arrivals = ArrivalTimes()
         if waiting_since is not None:
-            self._arrivals.reading_paused(waiting_since)  # it is read as soon as it is set up
-        self._blocked_by = 0  # bits of BlockReason
+            self._arrivals.reading_paused(waiting_since)  # reading starts when it is set up
+        self._blocked_by = 0  # flags of BlockReason
         self._reading_paused = False
-        self._input_closed = False  # no further command is processed; it closes once all are answered
+        self._input_closed = False  # no further commands; it closes once all are answered
         self._received_nothing = True
-        self._lingering_read_bytes = 0  # received since no commands are processed
-        self.unread_since = 0.0  # since when its client has not read its answers
-        self.ended_at: float | None = None  # when its client was told that no more answers come
+        self._lingering_read_bytes = 0  # received since the input was closed
+        self.unread_since = 0.0  # since when the client has not read its answers
+        self.ended_at: float | None = None  # when the end of the stream was sent
         self.unanswered: deque[ClientCommand] = deque()
         self.transport: asyncio.Transport
 
     # --- called by the transport --------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the connection."""
+        """Add the connection to the table."""
         self.transport = cast(asyncio.Transport, transport)
         self._table.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take the commands that are whole; keep the rest, within bounds."""
+        """Process the complete commands and buffer the rest, up to a limit."""
         self._received_nothing = False
         if self._input_closed:
             self._lingering_read_bytes += len(data)
@@ -72,34 +74,37 @@
             self._pause_reading()
 
     def pause_writing(self) -> None:
-        """Take no commands while the client does not read its answers: they would fill the memory."""
+        """Stop processing commands while the client does not read its answers, which limits memory use."""
         self._block(BlockReason.ANSWERS_UNREAD)
         self.unread_since = self._table.loop.time()
         self._table.restart_timeout(self)
 
     def resume_writing(self) -> None:
-        """Go on, as the client reads again. One that was told of the end still has to close in time."""
+        """Continue, as the client reads again.
+
+        The time-out runs on if the end of the stream was sent: the client still has to close in time.
+        """
         if self.ended_at is None:
             self._table.stop_timeout(self)
         self._unblock(BlockReason.ANSWERS_UNREAD)
 
     def eof_received(self) -> None:
-        """Note that the client has closed. Answers so far are still written, then the transport closes."""
+        """Handle a close by the client. Buffered answers are still written, then the transport closes."""
         self.disconnect()
         if self.transport.get_write_buffer_size():
-            self._table.restart_timeout(self)  # it may never read them
+            self._table.restart_timeout(self)  # the client may never read them
         else:
             self._table.remove(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the transport's interface
-        """Note that the connection was closed, by either end."""
+        """Handle the end of the connection, closed by either side."""
         self._table.remove(self)
         self.disconnect()
 
     # --- commands and answers -----------------------------------------------------------------------------
 
     def _process_commands(self) -> None:
-        """Take the whole commands that have arrived, as far as bounds allow."""
+        """Process the complete commands that have arrived, within the limits."""
         processed, any_invalid, arguments = 0, False, None
         try:
             while processed < MAX_COMMANDS_PER_BATCH and len(self.unanswered) < MAX_UNANSWERED:
@@ -121,7 +126,7 @@
             self._table.loop.call_later(pause, self._unblock, BlockReason.BATCH_ENDED)
 
     def _process_command(self, arguments: list[bytes]) -> bool:
-        """Submit or answer one command; return False where it is not valid."""
+        """Submit or answer one command; return False if it is invalid."""
         command = ClientCommand(self, self._arrivals.arrival_of(self._reader.consumed))
         self.unanswered.append(command)
         self._table.mark_busy(self)
@@ -138,11 +143,11 @@
     def _submit(self, command: ClientCommand, arguments: list[bytes]) -> None:
         command.parse_call(arguments, self._table.schema)
         if self._table.shutting_down:
-            command.reject(0)  # otherwise a busy connection would never be without unanswered commands
+            command.reject(0)  # otherwise a busy connection would always have unanswered commands
             return
         command.request_id = self._table.engine.submit(command)
         if not command.request_id:
-            # At a rate server the same id would be a second copy of the request that is in flight.
+            # A rate server would treat it as a duplicate of the request in flight with the same id.
             raise InvalidCommandError("the id is taken")
 
     def _update_timeout(self, processed: int, partial: bool) -> None:
@@ -156,7 +161,7 @@
                 self._table.mark_idle(self)
 
     def write_answers(self) -> None:
-        """Write the answers whose turn it is."""
+        """Write the answers that are ready, in the order of the commands."""
         ready = []
         while self.unanswered and (answer := self.unanswered[0].answer) is not None:
             self.unanswered.popleft()
@@ -172,7 +177,7 @@
             self._unblock(BlockReason.PIPELINE_FULL)
 
     def _refuse_input(self, error: str) -> None:
-        """Answer with an error after all that is unanswered, then close: no command can follow."""
+        """Send an error after the pending answers, then close: later input cannot be parsed."""
         self._input_closed = True
         self._reader = resp.Reader(MAX_ARGUMENTS)
         self._block(BlockReason.PIPELINE_FULL)
@@ -184,13 +189,16 @@
     # --- flow control -------------------------------------------------------------------------------------
 
     def _block(self, reason: int) -> None:
-        """Take no commands for now. Only with a full pipeline is it still read, to know when they arrive."""
+        """Stop processing commands.
+
+        Reading continues if a full pipeline is the only reason, in order to record when commands arrive.
+        """
         self._blocked_by |= reason
         if self._blocked_by & ~BlockReason.PIPELINE_FULL or self._reader.waiting > READ_AHEAD_BYTES:
             self._pause_reading()
 
     def _unblock(self, reason: int) -> None:
-        """End one reason to take no commands; without another one, take those that have arrived meanwhile."""
+        """Clear a block reason; if no other remains, process the commands that have arrived meanwhile."""
         self._blocked_by &= ~reason
         if self._input_closed or self._blocked_by or self.transport.is_closing() or self.poll_disconnect():
             return
@@ -215,11 +223,11 @@
     # --- closing ------------------------------------------------------------------------------------------
 
     def close(self, await_command: bool = True) -> None:
-        """Send the end of the stream, if nothing is unanswered; then linger until the client closes, too.
+        """Send the end of the stream if nothing is unanswered, then linger until the client closes.
 
-        With `await_command` a connection stays open whose first command, or the rest of one, has not arrived.
-        Lingering means to read on, for a limited time: to close with unread input would reset the connection,
-        and its client would lose the answers that it has not read yet.
+        With `await_command`, the connection stays open if its first command or the rest of a command has not
+        arrived. A lingering connection is read for a limited time: closing it with unread input would reset
+        it, and the client would lose the answers that it has not read yet.
         """
         if self.unanswered or self.ended_at is not None or self.transport.is_closing():
             return
@@ -236,12 +244,12 @@
         self._resume_reading()
 
     def abort(self) -> None:
-        """Close at once; what is not written yet is lost."""
+        """Close immediately and discard unwritten data."""
         self._table.disconnect_poller.unwatch(self)
         self.transport.abort()
 
     def time_out(self) -> None:
-        """End the connection, as its client has not acted in time."""
+        """Close the connection, as the client has not acted in time."""
         answers_unread = self._blocked_by & BlockReason.ANSWERS_UNREAD
         if answers_unread and self.ended_at is None and self._table.may_leave_unread(self):
             self._table.restart_timeout(self)
@@ -253,14 +261,14 @@
             self._refuse_input("the rest of the command did not come")
 
     def poll_disconnect(self) -> bool:
-        """Return whether the client has closed, also before that is read; its requests are cancelled then."""
+        """Return whether the client has disconnected, even if the loop has not noticed; cancel its requests."""
         if not self.transport.is_closing() and not has_disconnected(self.descriptor):
             return False
         self.disconnect()
         return True
 
     def disconnect(self) -> None:
-        """Cancel the client's requests, as it has closed; no answers are owed to it any more."""
+        """Cancel the requests of a client that has disconnected; they are not answered any more."""
         self._input_closed = True
         unanswered, self.unanswered = self.unanswered, deque()
         for command in unanswered:
--- a/rushroad/proxy/in_flight.py
+++ b/rushroad/proxy/in_flight.py
@@ -11,7 +11,7 @@
     """A client's request, as seen by the engine and the attempts."""
 
     id: bytes
-    arrived_at_s: float  # when its last byte arrived, on the monotonic clock, which is also the loop's
+    arrived_at_s: float  # earliest arrival time of its last byte, on the monotonic clock
     class_index: int
     plan_index: int
     tenant: int
--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -1,4 +1,4 @@
-"""Set-up that several tests of the proxy share."""
+"""Fixtures shared by the tests of the proxy."""
 
 import pytest
 
@@ -9,19 +9,19 @@
 
 @pytest.fixture
 def run_scenario() -> RunScenario:
-    """Runs a scenario on the client side of a gateway, whose engine records what it is asked."""
+    """Runs a scenario on the client side of a gateway with a recording engine."""
     return run_client_scenario
 
 
 @pytest.fixture
 def no_settle_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let connections to endpoints be reused right after a response."""
+    """Allows connections to endpoints to be reused immediately after a response."""
     monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME", 0.0)
 
 
 @pytest.fixture
 def fresh_log(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A log of the test's own: lines that other tests wrote in the same second don't count to its limit."""
+    """Replaces the log, so that lines of other tests in the same second do not count towards its limit."""
     log = NonBlockingLog()
     monkeypatch.setattr(discovery, "log", log)
     monkeypatch.setattr(endpoint_decoder, "log", log)
--- a/tests/proxy/test_client_command.py
+++ b/tests/proxy/test_client_command.py
@@ -1,4 +1,4 @@
-"""Calls of clients: what is valid, what the engine and rate servers get, and the answers."""
+"""Client calls: validation, parsing, forwarding and answers."""
 
 import asyncio
 
@@ -51,7 +51,7 @@
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,units=inf"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,units=1_0"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,units=+1"),
-        (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,units=4.5"),  # more than a request may have
+        (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,units=4.5"),  # more than the limit per request
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,units=1e9"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=+9"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d= 9"),
@@ -59,14 +59,14 @@
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,d=9"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,odd=9"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,r=2"),
-        (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,spread=4"),  # more gateways than there are
+        (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,spread=4"),  # exceeds the fleet size
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,first=3"),
         (b"CALL.GET", TENANT, b"", b"c=lookup,t=basic,d=9"),
         (b"CALL.GET", TENANT, b"a b", b"c=lookup,t=basic,d=9"),
         (b"CALL.GET", TENANT, b"1" * 65, b"c=lookup,t=basic,d=9"),
-        (b"CALL.GET", TENANT, b"1", b"c=order,t=basic,d=9"),  # not idempotent: has to be CALL.POST
+        (b"CALL.GET", TENANT, b"1", b"c=order,t=basic,d=9"),  # not idempotent, so CALL.POST is required
         (b"CALL.POST", TENANT, b"1", b"c=lookup,t=basic,d=9", b""),
-        (b"call.get", TENANT, b"1", b"c=lookup,t=basic,d=9"),  # would be forwarded as it is
+        (b"call.get", TENANT, b"1", b"c=lookup,t=basic,d=9"),  # would be forwarded unchanged
         (b"CALL.GET", b"+0000000000000ab", b"1", b"c=lookup,t=basic,d=9"),
         (b"CALL.GET", b"0000_0000_0000ab", b"1", b"c=lookup,t=basic,d=9"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,spread=0"),
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: the order of answers, its limits on input, and the end after malformed input."""
+"""Client connections: order of answers, limits on input, and closing after malformed input."""
 
 import pytest
 
@@ -81,7 +81,7 @@
 
 
 def test_id_of_a_request_in_flight_is_refused(run_scenario: RunScenario) -> None:
-    # At a rate server it would be a second copy of the request that is in flight.
+    # A rate server would treat it as a duplicate of the request in flight with the same id.
     async def scenario(gateway: ClientSide) -> None:
         gateway.engine.ids_in_flight.add(b"%016x" % 1)
         reader, writer = await gateway.connect()
@@ -94,7 +94,7 @@
 
 
 def test_input_after_a_malformed_command_is_not_read(run_scenario: RunScenario) -> None:
-    # A client may go on sending at full speed while an earlier answer is due: reading that costs CPU time.
+    # A client may continue to send at full speed while an earlier answer is due; reading that costs CPU time.
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
         writer.write(call(1) + b"nonsense")
@@ -110,7 +110,7 @@
 def test_unanswered_commands_of_a_connection_are_limited_and_all_are_answered(
     run_scenario: RunScenario,
 ) -> None:
-    # Hundreds of commands at once would fill memory and delay other clients; they wait in the socket.
+    # Hundreds of commands at once would fill memory and delay other clients, so they wait in the socket.
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
         writer.write(b"".join(call(number) for number in range(200)) + PING)
@@ -132,7 +132,7 @@
 def test_reading_pauses_after_an_invalid_command(
     run_scenario: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A client that sends the same again as soon as it is refused must not take the others' CPU time.
+    # A client that resends an invalid command immediately must not take CPU time from other clients.
     monkeypatch.setattr("rushroad.proxy.client_connection.INVALID_COMMAND_PAUSE_S", 0.02)
 
     async def scenario(gateway: ClientSide) -> None:
--- a/tests/support/client_side.py
+++ b/tests/support/client_side.py
@@ -1,4 +1,4 @@
-"""The client side of the gateway on loopback sockets, in front of an engine that records what it is asked."""
+"""The client side of the gateway on loopback sockets, with an engine that records the calls."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,7 +14,7 @@
 
 
 class ClientSide:
-    """A listener with its connections, and the engine behind it."""
+    """A client listener with its connections and a recording engine."""
 
     def __init__(self, max_connections: int = 8, loop: asyncio.AbstractEventLoop | None = None) -> None:
         self.engine = RecordingEngine()
@@ -35,7 +35,7 @@
 
 class RunScenario(Protocol):
     def __call__(self, scenario: Scenario, max_connections: int = 8) -> None:
-        """Run a scenario on a client side that listens; its connections are aborted afterwards."""
+        """Run a scenario on a listening client side, then abort its connections."""
 
 
 def run_client_scenario(scenario: Scenario, max_connections: int = 8) -> None:
