--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -261,7 +261,10 @@
             self._refuse_input("the rest of the command did not come")
 
     def poll_disconnect(self) -> bool:
-        """Return whether the client has disconnected, even if the loop has not noticed; cancel its requests."""
+        """Return whether the client has disconnected, also before the event loop reports it.
+
+        If so, its requests are cancelled.
+        """
         if not self.transport.is_closing() and not has_disconnected(self.descriptor):
             return False
         self.disconnect()
--- a/rushroad/proxy/client_listener.py
+++ b/rushroad/proxy/client_listener.py
@@ -1,4 +1,4 @@
-"""The listener for clients: accepts their connections, and closes them at the stop."""
+"""The client listener: accepts connections and closes them at shutdown."""
 
 from __future__ import annotations
 
@@ -12,34 +12,32 @@
 from rushroad.proxy.engine import Engine
 from rushroad.proxy.transient_errors import RESOURCE_ERRORS, RETRY_INTERVAL_S, poll_now
 
-BACKLOG = 1_024  # connections that the system keeps until they are accepted
-MAX_ACCEPTS_PER_CALLBACK = (
-    16  # each takes a descriptor before the connection that makes room for it is closed
-)
-MAX_SETUP_ATTEMPTS = 3  # to make a connection of an accepted socket
-MAX_ACCEPT_FAILURES_AT_STOP = 50  # before connections that still wait at the stop are given up
-PARTIAL_COMMAND_TIMEOUT_S = 1.0  # seconds that a stop waits for commands that are on their way
-CLOSE_INTERVAL_S = 0.01  # seconds between rounds over the connections that a stop has left
-LINGER_TIMEOUT_S = 0.3  # seconds that a stop leaves clients to close, by which they have read all answers
+BACKLOG = 1_024  # connections that the kernel queues until they are accepted
+MAX_ACCEPTS_PER_CALLBACK = 16  # each uses a descriptor before an evicted connection releases one
+MAX_SETUP_ATTEMPTS = 3  # per accepted socket
+MAX_ACCEPT_FAILURES_AT_STOP = 50  # after which connections still in the backlog are dropped
+PARTIAL_COMMAND_TIMEOUT_S = 1.0  # time for which a stop waits for commands that are on their way
+CLOSE_INTERVAL_S = 0.01  # between attempts of a stop to close the remaining connections
+LINGER_TIMEOUT_S = 0.3  # time that a stop gives clients to read all answers and close
 
 
 class ClientListener:
-    """Listens for client connections until it is stopped."""
+    """Accepts client connections until it is stopped."""
 
     def __init__(
         self, engine: Engine, schema: CommandSchema, max_connections: int, loop: asyncio.AbstractEventLoop
     ) -> None:
         self.connections = ConnectionTable(engine, schema, max_connections, loop)
-        self.port = 0  # known once it listens
+        self.port = 0  # 0 until it listens
         self._engine, self._loop = engine, loop
         self._listener: socket.socket
-        self._setup_tasks: set[asyncio.Task[None]] = set()  # of sockets that become connections
-        self._deferred_since: float | None = None  # since when accepting waits for the system's resources
+        self._setup_tasks: set[asyncio.Task[None]] = set()  # of accepted sockets
+        self._deferred_since: float | None = None  # since when accepting fails for lack of system resources
 
     async def listen(self, host: str, port: int) -> None:
-        """Accept connections from now on; raises OSError where the address can't be used.
+        """Start accepting connections; raises OSError if the address cannot be used.
 
-        The loop's own server is not used: without a free descriptor it closes connections unread.
+        The event loop's own server is not used, as it closes connections unread if no descriptor is free.
         """
         self._listener = socket.create_server((host, port), backlog=BACKLOG)
         try:
@@ -47,13 +45,13 @@
             self.port = self._listener.getsockname()[1]
             self._loop.add_reader(self._listener, self._accept)
         except OSError:
-            self._listener.close()  # a further try takes the same address
+            self._listener.close()  # allows the caller to retry with the same address
             raise
         self.connections.loop_lag.probe()
         self.connections.sweep()
 
     def _accept(self) -> None:
-        """Accept waiting connections. Those that the system has no resources for wait until it has."""
+        """Accept the connections in the backlog; if the system lacks resources, retry later."""
         for _ in range(MAX_ACCEPTS_PER_CALLBACK):
             try:
                 self._set_up(self._listener.accept()[0])
@@ -64,7 +62,7 @@
                 if error.errno in RESOURCE_ERRORS:
                     self._defer_accepting()
                     return
-                # Only this connection has failed, before it was accepted.
+                # Any other error concerns only this connection, which failed before it was accepted.
 
     def _defer_accepting(self) -> None:
         if self._deferred_since is None:
@@ -90,7 +88,10 @@
         task.add_done_callback(self._setup_tasks.discard)
 
     async def _connect(self, accepted: socket.socket, waiting_since: float | None) -> None:
-        """Make a connection of a socket. Nothing is read before that, so a failed try loses nothing."""
+        """Set up the connection of an accepted socket.
+
+        Nothing is read from the socket before, so no input is lost if this fails and is retried.
+        """
         descriptor = accepted.fileno()
 
         def new_connection() -> ClientConnection:
@@ -107,11 +108,11 @@
         accepted.close()
 
     async def stop(self, accept_time: float, time_limit: float) -> None:
-        """Go on for `accept_time`, then close the listener and each connection once nothing is unanswered.
+        """Accept connections for `accept_time`, then close the listener and all connections gracefully.
 
-        From then on, further requests on open connections are rejected. `time_limit` after the beginning all
-        requests in flight are answered and the connections aborted: the process may be killed soon. Both are
-        seconds.
+        After `accept_time`, new requests are rejected and each connection closes once it has no unanswered
+        commands. After `time_limit`, counted from the start, all requests in flight are answered and the
+        connections aborted, as the process may be killed soon. Both times are in seconds.
         """
         deadline = self._loop.time() + time_limit
         await asyncio.sleep(accept_time)
@@ -122,10 +123,10 @@
         self._engine.answer_all()
         await self._close_connections(0.0, self._loop.time() + LINGER_TIMEOUT_S)
         for connection in list(self.connections.open):
-            connection.abort()  # its client may never read
+            connection.abort()  # the client may never read its answers
 
     async def _close_listener(self) -> None:
-        """Close it, after accepting the connections that wait."""
+        """Accept the connections in the backlog, then close the listener."""
         self._loop.remove_reader(self._listener)
         failures = 0
         while failures < MAX_ACCEPT_FAILURES_AT_STOP:
@@ -142,9 +143,9 @@
             await asyncio.wait(self._setup_tasks)
 
     async def _close_connections(self, input_deadline: float, deadline: float) -> None:
-        """Close connections gracefully until there are none, or until `deadline`.
+        """Close connections gracefully until none is left or `deadline` is reached.
 
-        Until `input_deadline` one with unread input, or part of a command, stays open.
+        Until `input_deadline`, connections with unread input or an incomplete command stay open.
         """
         while self.connections.open and (now := self._loop.time()) < deadline:
             readable = self._readable_descriptors()
@@ -156,7 +157,7 @@
             await asyncio.sleep(CLOSE_INTERVAL_S)
 
     def _readable_descriptors(self) -> set[int]:
-        """Return those of the connections that have unread input; all where the system can't tell."""
+        """Return the descriptors of connections with unread input, or all descriptors if polling fails."""
         unread = select.poll()
         for connection in self.connections.open:
             unread.register(connection.descriptor, select.POLLIN)
--- a/rushroad/proxy/connection_limit.py
+++ b/rushroad/proxy/connection_limit.py
@@ -1,4 +1,4 @@
-"""The limit on connections to all endpoints together: each takes one of the process's descriptors."""
+"""The limit on the total of connections to endpoints, each of which uses a file descriptor."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class ConnectionLimit:
-    """Counts the connections to endpoints, and knows which of the idle ones has been idle for longest."""
+    """Counts the connections to all endpoints and orders the idle ones by idle time."""
 
     def __init__(self, maximum: int) -> None:
         self._maximum = maximum
-        self.open_count = 0  # connections that are up
+        self.open_count = 0  # established connections
         self.idle: OrderedDict[UpstreamConnection, None] = OrderedDict()  # of all pools, longest idle first
 
     def make_room(self, connecting: int) -> bool:
-        """Return whether one more may connect; at the limit the longest idle connection is closed for it.
+        """Return whether another connection can be opened; at the limit, close the longest idle one.
 
-        `connecting` counts those that are not up yet.
+        `connecting` is the number of connections that are not established yet.
         """
         if self.open_count + connecting < self._maximum:
             return True
@@ -30,6 +30,6 @@
         return longest_idle is not None
 
     def close_idle(self, before: float) -> None:
-        """Close the connections of all pools that have been idle since this time or longer."""
+        """Close the connections of all pools that became idle at or before this time."""
         while self.idle and (longest_idle := next(iter(self.idle))).idle_since <= before:
             longest_idle.close()
--- a/rushroad/proxy/connection_table.py
+++ b/rushroad/proxy/connection_table.py
@@ -1,4 +1,4 @@
-"""All client connections and the limits over them: their number, time-outs, idle time, unread answers."""
+"""The table of client connections, which enforces limits on their number, time-outs and unread answers."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 if TYPE_CHECKING:
     from rushroad.proxy.client_connection import ClientConnection
 
-CLIENT_TIMEOUT_S = 2.0  # seconds for a first command, for the rest of one, and for reading answers
-SWEEP_INTERVAL_S = 0.25  # seconds
-MIN_IDLE_TIME_S = 2.0  # seconds that a connection stays open after its last answer
-MAX_IDLE_FRACTION = 0.25  # of the limit on connections; of more that idle for longer the oldest are closed
-MAX_PENDING_FRACTION = 0.25  # of that limit; more with a running time-out make room among themselves
-MAX_UNREAD_BYTES = 8 << 20  # of answers that all clients may leave unread beyond their time-out
+CLIENT_TIMEOUT_S = 2.0  # for sending the first command, for completing a command and for reading answers
+SWEEP_INTERVAL_S = 0.25
+MIN_IDLE_TIME_S = 2.0  # a connection stays open for this time after its last answer
+MAX_IDLE_FRACTION = 0.25  # of the connection limit; above it, the connections idle for longest are closed
+MAX_PENDING_FRACTION = 0.25  # of the connection limit; above it, new connections evict pending ones
+MAX_UNREAD_BYTES = 8 << 20  # total of answers that clients can leave unread after their time-out
 
 
 class ConnectionTable:
-    """The open client connections with their time-outs, and what all of them use."""
+    """The open client connections, their time-outs and the objects that they share."""
 
     def __init__(
         self, engine: Engine, schema: CommandSchema, max_connections: int, loop: asyncio.AbstractEventLoop
@@ -32,23 +32,24 @@
         self.loop_lag = LoopLagMonitor(loop)
         self.disconnect_poller = DisconnectPoller(loop)
         self.open: set[ClientConnection] = set()
-        self.shutting_down = False  # each connection closes as soon as nothing is unanswered on it
+        self.shutting_down = False  # each connection closes once it has no unanswered commands
         self._max_connections = max_connections
-        # Both are ordered by time, the oldest first.
-        self._timeouts: dict[ClientConnection, float] = {}  # those whose client has to act; since when
+        # Start times, in ascending order.
+        self._timeouts: dict[ClientConnection, float] = {}  # pending connections, whose client has to act
         self._idle_since: dict[ClientConnection, float] = {}
 
     def sweep(self) -> None:
-        """Close what is timed out or has idled for long, now and again at each interval."""
+        """Close timed-out and long-idle connections, now and at each SWEEP_INTERVAL_S."""
         self._close_timed_out()
         self._close_idle()
         self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def add(self, connection: ClientConnection) -> None:
-        """Add a new connection; where there are too many, another one is closed.
+        """Add a new connection; above the connection limit, one connection is evicted.
 
-        That is the one idle for longest, on which a new request is least likely to be on its way. Where many
-        have sent nothing yet it is the oldest of those: they must not drive out clients that are served.
+        This is the connection idle for longest, as it is the least likely to have a request on its way. If
+        too many connections are pending, it is the oldest pending one without unanswered commands, so that
+        silent clients cannot displace active ones.
         """
         self.open.add(connection)
         self.start_timeout(connection)
@@ -61,39 +62,39 @@
         evicted.abort()
 
     def remove(self, connection: ClientConnection) -> None:
-        """Remove a connection that is closed."""
+        """Remove a closed connection."""
         self.open.discard(connection)
         self._timeouts.pop(connection, None)
         self._idle_since.pop(connection, None)
         self.disconnect_poller.unwatch(connection)
 
     def start_timeout(self, connection: ClientConnection) -> None:
-        """Give the client a limited time to act; one that runs already goes on."""
+        """Start the time-out within which the client has to act, unless it is running."""
         self._timeouts.setdefault(connection, self.loop.time())
 
     def restart_timeout(self, connection: ClientConnection) -> None:
-        """Give the client a limited time to act, from now on."""
+        """Start the time-out within which the client has to act, or start it anew."""
         self._timeouts.pop(connection, None)
         self._timeouts[connection] = self.loop.time()
 
     def stop_timeout(self, connection: ClientConnection) -> None:
-        """The client has acted, or the connection is closing."""
+        """Stop the time-out: the client has acted, or the connection is closing."""
         self._timeouts.pop(connection, None)
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """Nothing is unanswered on the connection; it is idle unless its client has to act."""
+        """Mark a connection without unanswered commands as idle, unless its time-out is running."""
         self._idle_since.pop(connection, None)
         if connection in self.open and connection not in self._timeouts:
             self._idle_since[connection] = self.loop.time()
 
     def mark_busy(self, connection: ClientConnection) -> None:
-        """The connection is in use."""
+        """Mark a connection as in use."""
         self._idle_since.pop(connection, None)
 
     def may_leave_unread(self, connection: ClientConnection) -> bool:
-        """Return whether a client may leave its answers unread for longer.
+        """Return whether a client may leave its answers unread after its time-out.
 
-        It may as long as it may still wait for them, if all such answers together take little memory.
+        This is allowed until the longest deadline, as long as all unread answers fit in MAX_UNREAD_BYTES.
         """
         unread_bytes = sum(pending.transport.get_write_buffer_size() for pending in self._timeouts)
         unread_bytes += connection.transport.get_write_buffer_size()
@@ -109,9 +110,10 @@
             connection.time_out()
 
     def _close_idle(self) -> None:
-        """Close the connections that have idled for long, if there are many.
+        """Close the connections idle for longest, if there are too many.
 
-        Some clients ask once and keep their connection for good: others must find room before it is all used.
+        Some clients send one request and keep their connection open indefinitely; without this they would use
+        up the connection limit.
         """
         idle_before = self.loop.time() - MIN_IDLE_TIME_S
         excess = len(self._idle_since) - int(self._max_connections * MAX_IDLE_FRACTION)
--- a/rushroad/proxy/disconnect_poll.py
+++ b/rushroad/proxy/disconnect_poll.py
@@ -1,4 +1,4 @@
-"""Finds clients that closed their connection while it is not read: reading would not show it."""
+"""Detects clients that disconnect while reading from their connection is paused."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 if TYPE_CHECKING:
     from rushroad.proxy.client_connection import ClientConnection
 
-POLL_INTERVAL_S = 0.03  # seconds; no attempt may begin later than 0.1 seconds after its client closed
+POLL_INTERVAL_S = 0.03  # no attempt may start more than 0.1 s after its client has disconnected
 
 
 def has_disconnected(descriptor: int) -> bool:
-    """Return whether the other end of a socket has closed; False where the system can't tell."""
+    """Return whether the peer of a socket has closed; False if polling fails."""
     poller = select.poll()
     poller.register(descriptor, select.POLLRDHUP)
     return bool(poll_now(poller))
 
 
 class DisconnectPoller:
-    """Polls the connections that are not read, and disconnects those that their client has closed."""
+    """Polls the connections whose reading is paused and disconnects those closed by their client."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -31,7 +31,7 @@
         self._scheduled = False
 
     def watch(self, connection: ClientConnection) -> None:
-        """Poll a connection that is not read from now on."""
+        """Start polling a connection whose reading is paused."""
         self._watched[connection.descriptor] = connection
         self._poller.register(connection.descriptor, select.POLLRDHUP)
         if not self._scheduled:
@@ -39,7 +39,7 @@
             self._loop.call_later(POLL_INTERVAL_S, self._poll)
 
     def unwatch(self, connection: ClientConnection) -> None:
-        """Stop polling a connection that is read again or closed; no-op where it is not watched."""
+        """Stop polling a connection that is read again or closed; no-op if it is not watched."""
         if self._watched.get(connection.descriptor) is connection:
             del self._watched[connection.descriptor]
             self._poller.unregister(connection.descriptor)
--- a/tests/proxy/test_client_listener.py
+++ b/tests/proxy/test_client_listener.py
@@ -1,4 +1,4 @@
-"""The stop of the listener: which connections and requests are still served, and for how long."""
+"""Stopping the listener: which connections and requests are still served, and for how long."""
 
 import asyncio
 import socket
@@ -17,7 +17,7 @@
         busy[1].write(call(1))
         command = await gateway.engine.calls.get()
         stopping = asyncio.create_task(gateway.listener.stop(0.05, 5.0))
-        late = await gateway.connect()  # new connections are accepted for a while
+        late = await gateway.connect()  # new connections are accepted until the listener closes
         late[1].write(call(2))
         last = await gateway.engine.calls.get()
         assert await idle[0].read() == b""
@@ -69,7 +69,10 @@
 
 @pytest.fixture
 def before_listener_closes(monkeypatch: pytest.MonkeyPatch) -> Callable[[Callable[[], None]], None]:
-    """Has something done just before a stop closes the listener, with no turn of the loop between."""
+    """Returns a function that sets an action to run just before a stop closes the listener.
+
+    The event loop does not run between the action and the close.
+    """
     sleep = asyncio.sleep
 
     def arrange(action: Callable[[], None]) -> None:
@@ -88,7 +91,7 @@
 
 
 async def receive_all(client: socket.socket) -> bytes:
-    """Everything until the end of the stream."""
+    """Receive data until the end of the stream."""
     loop = asyncio.get_running_loop()
     data = b""
     while more := await loop.sock_recv(client, 4096):
@@ -138,7 +141,7 @@
 
 
 def test_further_requests_on_busy_connections_are_rejected_during_the_stop(run_scenario: RunScenario) -> None:
-    # It would never be without unanswered requests: clients send on every connection that stays open.
+    # Otherwise the connection might never become idle, as clients send on every open connection.
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
         writer.write(call(1))
@@ -151,7 +154,7 @@
         while len(command.connection.unanswered) < 3:
             await asyncio.sleep(0)
         command.succeed(b"x")
-        writer.write(call(4))  # crosses the end
+        writer.write(call(4))  # arrives after the gateway has sent the end of the stream
         assert await reader.read() == b"$1\r\nx\r\n-BUSY\r\n-BUSY\r\n"
         assert gateway.engine.calls.empty()
         writer.close()
--- a/tests/proxy/test_connection_limit.py
+++ b/tests/proxy/test_connection_limit.py
@@ -1,4 +1,4 @@
-"""ConnectionLimit: when one more connection may be opened, and which idle ones close for it or by age."""
+"""ConnectionLimit: when a connection can be opened and which idle connections are closed."""
 
 from typing import cast
 
@@ -9,7 +9,7 @@
 
 
 class IdleConnection:
-    """Stands in for an idle connection: it leaves the limit when it is closed."""
+    """A test double for an idle connection, which deregisters from the limit when it is closed."""
 
     def __init__(self, limit: ConnectionLimit, idle_since: float) -> None:
         self.limit, self.idle_since = limit, idle_since
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def limit() -> ConnectionLimit:
-    """A limit of 3 with two idle connections, idle since 1.0 and 2.0."""
+    """A limit of 3 connections, with two idle ones that became idle at 1.0 and 2.0."""
     limit = ConnectionLimit(3)
     for idle_since in (1.0, 2.0):
         IdleConnection(limit, idle_since)
--- a/tests/proxy/test_connection_table.py
+++ b/tests/proxy/test_connection_table.py
@@ -1,4 +1,4 @@
-"""Limits over all client connections: their number, idle time, time-outs and unread answers."""
+"""The limits that the table enforces: number of connections, idle time, time-outs and unread answers."""
 
 import asyncio
 from dataclasses import replace
@@ -42,9 +42,9 @@
         writer.write(start)
         answer = (await reader.read()).removeprefix(PONG)
         assert answer.startswith(b"-ERR the rest") if start else answer == b""
-        while len(gateway.connections.open) > 1:  # aborted, though this end has not closed
+        while len(gateway.connections.open) > 1:  # aborted, although the client has not closed
             await asyncio.sleep(0)
-        assert len(gateway.connections.open) == 1  # one that was answered may be idle
+        assert len(gateway.connections.open) == 1  # the idle connection stays open
         idle.write(PING)
         assert await idle_reader.readline() == PONG
 
@@ -58,7 +58,7 @@
             writer.write(PING)
             assert await reader.readline() == PONG
         silent = [await gateway.connect() for _ in range(20)]
-        for reader, _ in silent[:16]:  # the oldest ones; four of the eight connections are theirs
+        for reader, _ in silent[:16]:  # the oldest ones; silent clients keep four of the eight connections
             assert await reader.read() == b""
         assert len(gateway.connections.open) == 8
         for reader, writer in served + silent[16:]:
@@ -70,13 +70,13 @@
 
 def test_new_connection_over_the_limit_is_closed_when_all_others_are_busy(run_scenario: RunScenario) -> None:
     async def scenario(gateway: ClientSide) -> None:
-        ends = [await gateway.connect() for _ in range(2)]
-        for number, (_, writer) in enumerate(ends):
+        clients = [await gateway.connect() for _ in range(2)]
+        for number, (_, writer) in enumerate(clients):
             writer.write(call(number))
-        open_calls = [await gateway.engine.calls.get() for _ in ends]
+        open_calls = [await gateway.engine.calls.get() for _ in clients]
         reader, _ = await gateway.connect()
         assert await reader.read() == b""
-        for command, (reader, _) in zip(open_calls, ends, strict=True):
+        for command, (reader, _) in zip(open_calls, clients, strict=True):
             command.fail()
             assert await reader.readline() == b"-ERR failed\r\n"
 
@@ -93,7 +93,7 @@
     kept: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Aborted earlier, the client would lose answers that it still waits for; the memory for them is bounded.
+    # If aborted earlier, the client would lose answers that it still waits for; their memory is limited.
     monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL_S", 0.01)
     monkeypatch.setattr("rushroad.proxy.connection_table.CLIENT_TIMEOUT_S", 0.0)
     monkeypatch.setattr("rushroad.proxy.connection_table.MAX_UNREAD_BYTES", max_unread_mib << 20)
@@ -107,11 +107,11 @@
         first, second = await gateway.engine.calls.get(), await gateway.engine.calls.get()
         time_out = ClientConnection.time_out
 
-        def time_out_and_tell(connection: ClientConnection) -> None:
+        def time_out_and_notify(connection: ClientConnection) -> None:
             time_out(connection)
             timed_out.set()
 
-        monkeypatch.setattr(ClientConnection, "time_out", time_out_and_tell)
+        monkeypatch.setattr(ClientConnection, "time_out", time_out_and_notify)
         first.succeed(b"x" * (16 << 20))  # more than the sockets' buffers hold
         await timed_out.wait()
         assert (second.connection in gateway.connections.open) is kept
@@ -128,18 +128,18 @@
 def test_oldest_of_many_idle_connections_are_closed(
     run_scenario: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Some clients ask once and keep their connection for good: others must find room.
+    # Some clients send one request and keep their connection open; new clients must still be able to connect.
     monkeypatch.setattr("rushroad.proxy.connection_table.MIN_IDLE_TIME_S", 0.0)
     monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL_S", 0.01)
 
     async def scenario(gateway: ClientSide) -> None:
-        ends = [await gateway.connect() for _ in range(4)]
-        for reader, writer in ends:
+        clients = [await gateway.connect() for _ in range(4)]
+        for reader, writer in clients:
             writer.write(PING)
             assert await reader.readline() == PONG
-        for reader, _ in ends[:2]:
+        for reader, _ in clients[:2]:
             assert await reader.read() == b""
-        for reader, writer in ends[2:]:  # a quarter of the limit
+        for reader, writer in clients[2:]:  # a quarter of the limit
             writer.write(PING)
             assert await reader.readline() == PONG
 
@@ -149,7 +149,7 @@
 def test_ended_connection_whose_client_never_closes_times_out(
     run_scenario: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Otherwise it would keep its descriptor for good: it is not idle, so it makes room for no other.
+    # Otherwise it would hold its descriptor forever: a connection that is not idle is not evicted.
     monkeypatch.setattr("rushroad.proxy.connection_table.SWEEP_INTERVAL_S", 0.01)
 
     async def scenario(gateway: ClientSide) -> None:
--- a/tests/proxy/test_disconnect_poll.py
+++ b/tests/proxy/test_disconnect_poll.py
@@ -1,4 +1,4 @@
-"""Clients that close a connection while it is not read."""
+"""Detection of clients that disconnect while reading is paused."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 def test_disconnect_is_noticed_while_reading_is_paused(
     run_scenario: RunScenario, max_unanswered: int, abrupt: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Otherwise its commands, and those that wait unread behind them, would still be forwarded.
+    # Otherwise its commands, including those that are still unread, would be forwarded.
     monkeypatch.setattr("rushroad.proxy.client_connection.MAX_UNANSWERED", max_unanswered)
 
     async def scenario(gateway: ClientSide) -> None:
