--- a/rushroad/proxy/arrival_times.py
+++ b/rushroad/proxy/arrival_times.py
@@ -1,44 +1,47 @@
-"""When the bytes of a connection arrived, also of those that waited while the connection was not read."""
+"""Arrival times of the bytes of a connection, including bytes that waited while reading was paused."""
 
 from __future__ import annotations
 
 import math
 from collections import deque
 
-CATCH_UP_TIME_S = 0.2  # seconds after a backlog was read in which more of it, held by the peer, may arrive
-LARGE_READ_BYTES = 64 * 1024  # after a read of this size the system may hold more
-MERGE_INTERVAL_S = 0.005  # seconds; closer reads share an entry, so that single bytes can't fill memory
+CATCH_UP_TIME_S = 0.2  # after a backlog was read, in which more of it may arrive from the peer's buffers
+LARGE_READ_BYTES = 64 * 1024  # a read of this size may have left data in the kernel's buffer
+MERGE_INTERVAL_S = 0.005  # reads closer together share an entry, which limits the memory for small reads
 
 
 class ArrivalTimes:
-    """Maps offsets in a connection's input to the time at which the byte there may have arrived.
+    """Maps offsets in a connection's input to the earliest time at which the byte may have arrived.
 
-    Bytes that are read shortly after a pause count as having arrived when the pause began: nothing tells when
-    they did. Times are seconds of the event loop's clock.
+    Bytes read shortly after a pause are assumed to have arrived when the pause began, as their actual arrival
+    time is unknown. Times are in seconds on the event loop's clock.
     """
 
     __slots__ = ("_backlog_since", "_backlog_until", "_entries", "_received")
 
     def __init__(self) -> None:
-        self._entries: deque[tuple[int, float]] = deque()  # offset behind the bytes of a read, their arrival
-        self._received = 0  # bytes in total
-        # Bytes read until `_backlog_until` may have waited since `_backlog_since`; None without a backlog.
+        self._entries: deque[tuple[int, float]] = deque()  # end offset of a read, arrival time
+        self._received = 0  # total number of bytes
+        # Bytes read until `_backlog_until` may have arrived at `_backlog_since`; None if there is no backlog.
         self._backlog_since: float | None = None
         self._backlog_until = 0.0
 
     def reading_paused(self, now: float) -> None:
-        """Note that the connection is not read from now on."""
+        """Record that reading is paused."""
         if self._backlog_since is None or now > self._backlog_until:
             self._backlog_since = now
         self._backlog_until = math.inf
 
     def reading_resumed(self, readable: bool) -> None:
-        """Note that the connection is read again; `readable` says whether bytes may be waiting."""
+        """Record that reading is resumed; `readable` tells whether unread bytes may be waiting."""
         if not readable:
             self._backlog_since = None
 
     def record(self, size: int, received_since: float) -> None:
-        """Note a read of `size` bytes, which waited since `received_since` at most unless reading paused."""
+        """Record a read of `size` bytes.
+
+        Unless reading was paused, `received_since` is the earliest time at which they can have arrived.
+        """
         arrived_at = received_since
         if self._backlog_since is not None:
             if received_since > self._backlog_until:
@@ -53,7 +56,7 @@
         self._entries.append((self._received, arrived_at))
 
     def arrival_of(self, end_offset: int) -> float:
-        """Return when the byte before this offset arrived; offsets must not decrease from call to call."""
+        """Return the arrival time of the byte before this offset; offsets must not decrease between calls."""
         entries = self._entries
         while len(entries) > 1 and entries[0][0] < end_offset:
             entries.popleft()
--- a/rushroad/proxy/configuration.py
+++ b/rushroad/proxy/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file that EDGE_CONFIG names: read at the start, and again at each SIGHUP."""
+"""The configuration file named by EDGE_CONFIG, which is read at startup and reloaded on SIGHUP."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from rushroad.proxy.transient_errors import TRANSIENT_ERRORS, retry_transient
 
 PATH_VARIABLE = "EDGE_CONFIG"  # environment variable with the path of the configuration file
-READ_BYTES = 64 * 1024  # read in one turn of the event loop
+READ_BYTES = 64 * 1024  # per event loop iteration
 RESERVED_SOCKETS = 32  # descriptors for the counter, discovery, the event loop and the standard streams
 UPSTREAM_SHARE = 0.25  # of the other descriptors, for connections to endpoints; the rest is for clients
-RELOAD_RETRY_TIME_S = 3.0  # seconds; a new configuration counts as notified 4 s after SIGHUP
-RELOAD_RETRIED_ERRORS = TRANSIENT_ERRORS | {errno.ENOENT}  # a file that is being replaced may be missing
+RELOAD_RETRY_TIME_S = 3.0  # a gateway counts as notified of a new configuration 4 s after SIGHUP
+RELOAD_RETRIED_ERRORS = TRANSIENT_ERRORS | {errno.ENOENT}  # the file may be missing while it is replaced
 
 
 class ConfigurationError(ValueError):
@@ -36,7 +36,7 @@
 
 
 class Configuration(NamedTuple):
-    """What a gateway is configured with, apart from the endpoint list."""
+    """The configuration of a gateway, without the cached endpoint list."""
 
     listen: Address
     discovery: Address
@@ -50,19 +50,19 @@
 
 
 def _read_file() -> Iterator[bytes]:
-    """The file as it stands now, in pieces: most of it is the endpoint list, and it may be long."""
+    """Read the file in chunks, as the endpoint list in it may be long."""
     path = os.environ.get(PATH_VARIABLE)
     if path is None:
         raise ConfigurationError(f"the environment variable {PATH_VARIABLE} is not set")
-    with open(path, "rb") as file:  # noqa: PTH123 (importing pathlib would delay the start)
+    with open(path, "rb") as file:  # noqa: PTH123 - importing pathlib would delay startup
         while data := file.read(READ_BYTES):
             yield data
 
 
 async def read_document() -> dict[str, Any]:
-    """Read the file, with an empty endpoint list; each piece has a turn of the event loop.
+    """Read the file without the entries of its endpoint list, one chunk per event loop iteration.
 
-    Raises ConfigurationError where it is not one whole JSON object, and OSError where it can't be read.
+    Raises ConfigurationError if it is not a single complete JSON object, and OSError if it cannot be read.
     """
     splitter = JsonSplitter(("known", "instances"))
     documents = []
@@ -73,18 +73,20 @@
                 if run.ends_document:
                     documents.append(run.document)
         except ValueError as error:
-            raise ConfigurationError(f"the configuration is not one whole JSON object: {error}") from error
+            raise ConfigurationError(
+                f"the configuration is not a single complete JSON object: {error}"
+            ) from error
         await asyncio.sleep(0)
     if len(documents) != 1 or not splitter.is_between_documents():
-        raise ConfigurationError("the configuration is not one whole JSON object")
+        raise ConfigurationError("the configuration is not a single complete JSON object")
     return documents[0]
 
 
 async def read_configuration() -> Configuration:
-    """Read and check the whole configuration.
+    """Read and validate the configuration.
 
-    Raises ConfigurationError or SettingsError where a key is missing or a value is invalid, and OSError where
-    the file can't be read.
+    Raises ConfigurationError or SettingsError if a key is missing or a value is invalid, and OSError if the
+    file cannot be read.
     """
     document = await read_document()
     try:
@@ -115,9 +117,10 @@
 async def read_cached_endpoints(
     proxy_settings: ProxySettings, memory_limit: int, on_update: UpdateHandler
 ) -> int:
-    """Pass on the endpoint list as this gateway last had it; return its version.
+    """Pass the cached endpoint list to `on_update` and return its version.
 
-    Where it can't be read, that is 0: discovery then sends a full list. What was read of it stays valid.
+    If the list cannot be read to its end, the entries read so far stay in use and the version is 0, on which
+    discovery sends a full snapshot.
     """
     decoder = EndpointDecoder(proxy_settings, memory_limit, UpdateKind.CACHED_SNAPSHOT, path=("known",))
     version = 0
@@ -128,14 +131,14 @@
                 if (part := decoder.next_part()) is not None:
                     on_update(part.update, part.listed)
                     version = part.update.version if part.ends_list else version
-                await asyncio.sleep(0)  # the policy takes the part in
+                await asyncio.sleep(0)  # lets the policy process the part
     except UNEXPECTED_JSON_ERRORS as error:
         log(f"the cached endpoint list can't be read; waiting for discovery to send one: {error!r}")
     return version
 
 
 async def _reload(discovery: Discovery, counter: CounterClient | None) -> None:
-    """Use the addresses in the new file. Where one of them can't be read, nothing changes."""
+    """Apply the addresses in the new file; if one of them is invalid, none is changed."""
     try:
         document = await retry_transient(read_document, RELOAD_RETRY_TIME_S, RELOAD_RETRIED_ERRORS)
         discovery_address = read_address(document["discovery"])
@@ -158,14 +161,14 @@
 
 
 def block_reloads() -> None:
-    """Let a SIGHUP wait until `start_reloads`: its default would end the process."""
+    """Block SIGHUP until `start_reloads`, as its default action would end the process."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 
 def start_reloads(
     loop: asyncio.AbstractEventLoop, discovery: Discovery, counter: CounterClient | None
 ) -> asyncio.Task[None]:
-    """Reload the configuration at each SIGHUP from now on, one by one, until the task is cancelled."""
+    """Reload the configuration on each SIGHUP, one reload at a time, until the returned task is cancelled."""
     sighup_event = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, sighup_event.set)
     reloads = loop.create_task(_reload_on_sighup(sighup_event, discovery, counter))
--- a/rushroad/proxy/loop_lag.py
+++ b/rushroad/proxy/loop_lag.py
@@ -1,16 +1,16 @@
-"""Measures how late the event loop runs, so that input which waited for it counts from its arrival."""
+"""Measures the lag of the event loop, so that input delayed by a stall counts from its arrival."""
 
 from __future__ import annotations
 
 import asyncio
 
-PROBE_INTERVAL_S = 0.05  # seconds
-PROBE_TOLERANCE_S = 0.005  # seconds by which a probe may be late without counting as a stall
-BACKLOG_TIME_S = 0.05  # seconds after a stall in which input that waited through it may still be read
+PROBE_INTERVAL_S = 0.05
+PROBE_TOLERANCE_S = 0.005  # a probe that is later than this indicates a stall
+BACKLOG_TIME_S = 0.05  # time after a stall in which input that arrived during it may still be read
 
 
 class LoopLagMonitor:
-    """Probes the event loop with a timer: where a probe runs late, the loop was stalled since it was due."""
+    """Probes the event loop with a timer: if a probe runs late, the loop was stalled since it was due."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -18,7 +18,7 @@
         self._stalled_since, self._backlog_until = 0.0, 0.0  # of the last stall
 
     def probe(self) -> None:
-        """Probe now, and again at each interval."""
+        """Probe now and at each PROBE_INTERVAL_S."""
         now, due = self._loop.time(), self._probed_at + PROBE_INTERVAL_S
         if now - due > PROBE_TOLERANCE_S:
             self._stalled_since, self._backlog_until = due, now + BACKLOG_TIME_S
@@ -26,7 +26,7 @@
         self._loop.call_later(PROBE_INTERVAL_S, self.probe)
 
     def waiting_since(self) -> float:
-        """Return since when input that is read now may have waited for the loop; seconds of its clock."""
+        """Return the earliest arrival time of input that is read now, in seconds on the loop's clock."""
         now = self._loop.time()
         if now <= self._backlog_until:
             return self._stalled_since
--- a/tests/proxy/test_configuration.py
+++ b/tests/proxy/test_configuration.py
@@ -40,7 +40,7 @@
     run(scenario)
     assert len(turns) >= len(text) // READ_BYTES
     (tmp_path / "config.json").write_text(text + "{}")
-    with pytest.raises(ConfigurationError, match="one whole JSON object"):
+    with pytest.raises(ConfigurationError, match="not a single complete JSON object"):
         run(scenario)
 
 
@@ -71,9 +71,9 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("", "the configuration is not one whole JSON object"),
-        ("{nope", "the configuration is not one whole JSON object"),
-        ("[]", "the configuration is not one whole JSON object: expected a JSON object"),
+        ("", "the configuration is not a single complete JSON object"),
+        ("{nope", "the configuration is not a single complete JSON object"),
+        ("[]", "the configuration is not a single complete JSON object: expected a JSON object"),
         ("{}", "the configuration lacks the key 'settings'"),
         (json.dumps(configuration(1, 1, 1) | {"limits": {}}), "the configuration lacks the key 'sockets'"),
         (json.dumps(configuration(1, 1, 1) | {"limits": 3}), "the configuration has an invalid value"),
