--- a/tests/proxy/test_nonblocking_log.py
+++ b/tests/proxy/test_nonblocking_log.py
@@ -1,4 +1,4 @@
-"""The log on a pipe: limits, counts of missing lines, and what becomes of long ones."""
+"""The log on a pipe: rate limit, counts of suppressed and dropped lines, truncation of long lines."""
 
 import asyncio
 import os
@@ -13,20 +13,20 @@
 
 
 class LogPipe:
-    """A log that writes to a pipe, and the pipe's other end."""
+    """A log that writes to a pipe, and the read end of the pipe."""
 
     def __init__(self, reader: int) -> None:
         self.log, self._reader = NonBlockingLog(), reader
 
     def read_lines(self) -> list[str]:
-        """The lines written since the last call."""
+        """Return the lines written since the last call."""
         try:
             return os.read(self._reader, 1 << 20).decode().splitlines()
         except BlockingIOError:
             return []
 
     def fill(self) -> int:
-        """Write lines until the pipe is full; return how many it took."""
+        """Write lines until the pipe is full; return how many were written."""
         count = 0
         while not self.log._dropped:
             self.log._write_or_drop("filling " + "x" * 2_000)
@@ -44,7 +44,7 @@
     os.close(writer)
 
 
-def test_lines_over_the_limit_per_second_are_left_out_and_counted(
+def test_lines_over_the_limit_per_second_are_suppressed_and_counted(
     log_pipe: LogPipe, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     now = 100.0
@@ -54,20 +54,20 @@
     assert log_pipe.read_lines() == [f"rushroad: line {n}" for n in range(MAX_LINES_PER_SECOND)]
     now = 101.0
     log_pipe.log("next")
-    suppressed = f"rushroad: 3 more log lines left out: over the limit of {MAX_LINES_PER_SECOND} a second"
+    suppressed = f"rushroad: 3 log lines suppressed: over the limit of {MAX_LINES_PER_SECOND} per second"
     assert log_pipe.read_lines() == [suppressed, "rushroad: next"]
 
 
-def test_lines_that_find_the_pipe_full_are_dropped_and_counted_before_the_next(log_pipe: LogPipe) -> None:
-    taken = log_pipe.fill()
+def test_lines_are_dropped_while_the_pipe_is_full_and_counted_before_the_next(log_pipe: LogPipe) -> None:
+    written = log_pipe.fill()
     log_pipe.log("dropped")
-    assert len(log_pipe.read_lines()) == taken
+    assert len(log_pipe.read_lines()) == written
     log_pipe.log("next")
     dropped = "rushroad: 2 log lines dropped: standard error could not be written"
     assert log_pipe.read_lines() == [dropped, "rushroad: next"]
 
 
-def test_dropped_lines_are_reported_also_where_no_line_follows(
+def test_dropped_lines_are_reported_even_if_no_line_follows(
     log_pipe: LogPipe, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
