--- a/rushroad/proxy/__init__.py
+++ b/rushroad/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway process: carries the decisions of the policy out on sockets."""
+"""The gateway process: executes the decisions of the policy on sockets."""
--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -1,4 +1,4 @@
-"""The gateway process: starts its parts, connects them, and runs until SIGTERM."""
+"""The entry point of the gateway process: creates and connects its parts, and runs until SIGTERM."""
 
 from __future__ import annotations
 
@@ -35,14 +35,12 @@
 )
 from rushroad.proxy.upstream import Upstream
 
-FIRST_UPDATE_TIMEOUT_S = (
-    0.3  # seconds that a start waits for discovery before it uses the cached endpoint list
-)
+FIRST_UPDATE_TIMEOUT_S = 0.3  # wait for discovery at startup; after it, the cached endpoint list is used
 EXIT_OK, EXIT_START_FAILED = 0, 2
 
 
 def _update_handler(engine: Engine, upstream: Upstream, loop: asyncio.AbstractEventLoop) -> UpdateHandler:
-    """Return what passes endpoint updates to all parts that use them."""
+    """Return the handler that passes endpoint updates to all parts that use them."""
     freezer = EndpointFreezer(loop)
 
     def apply_update(update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
@@ -57,7 +55,7 @@
 def _connect_counter(
     configuration: Configuration, engine: Engine, loop: asyncio.AbstractEventLoop
 ) -> CounterClient | None:
-    """Connect the engine to the counter; None where the deployment has none."""
+    """Connect the engine to the counter; return None if the deployment has none."""
     settings = configuration.settings.counter
     if settings is None or configuration.counter is None:
         return None
@@ -67,7 +65,10 @@
 
 
 async def serve() -> None:
-    """Serve until SIGTERM or SIGINT. Raises like `read_configuration`, and OSError where it can't listen."""
+    """Serve until SIGTERM or SIGINT.
+
+    Raises the errors of `read_configuration`, and OSError if listening fails.
+    """
     loop = asyncio.get_running_loop()
     terminated = termination_event(loop)
     loop.set_exception_handler(log.handle_loop_exception)
@@ -102,7 +103,7 @@
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
-    """Create the event loop, retrying while the system has no descriptors or memory for it."""
+    """Create the event loop, retrying while the system lacks descriptors or memory."""
     retry_until = time.monotonic() + START_RETRY_TIME_S
     while True:
         try:
@@ -114,7 +115,7 @@
 
 
 def main() -> int:
-    """Run the gateway; return 0 after SIGTERM, and 2, with one log line, where it can't start."""
+    """Run the gateway; return 0 after a shutdown, or 2 after logging an error if it cannot start."""
     block_reloads()
     try:
         with asyncio.Runner(loop_factory=new_event_loop) as runner:
--- a/rushroad/proxy/clock.py
+++ b/rushroad/proxy/clock.py
@@ -8,14 +8,14 @@
 
 @dataclass(slots=True)
 class Clock:
-    """Microseconds: Unix time at the start, and from there monotonic.
+    """A monotonic clock that starts from Unix time.
 
-    The policy numbers the windows of the shared counter by it, so all gateways have to agree on the time, and
-    a system clock that is set anew must not move it.
+    The policy numbers the windows of the shared counter by this clock, so all gateways have to agree on the
+    time, and changes of the system clock must not affect it.
     """
 
-    offset_ns: int = field(default_factory=lambda: time.time_ns() - time.monotonic_ns())  # nanoseconds
+    offset_ns: int = field(default_factory=lambda: time.time_ns() - time.monotonic_ns())
 
     def now_us(self) -> int:
-        """Return the time now."""
+        """Return the current time in microseconds."""
         return (self.offset_ns + time.monotonic_ns()) // 1_000
--- a/rushroad/proxy/idle_resets.py
+++ b/rushroad/proxy/idle_resets.py
@@ -1,13 +1,13 @@
-"""How often requests on connections that had been idle were reset, by the idle time."""
+"""Reset rates of requests on reused connections, by idle time of the connection."""
 
 from __future__ import annotations
 
-FIRST_BUCKET_S = 0.025  # seconds of idle time in the first bucket; each further bucket is twice as long
+FIRST_BUCKET_S = 0.025  # upper bound of the first bucket of idle times; it doubles with each further bucket
 BUCKET_COUNT = 12
-DECAY = 0.95  # weight left to earlier uses with each new one: about the last twenty count
-MAX_RESET_SHARE = 0.2  # of the uses; above it connections of this idle time are not reused
-ASSUMED_SUCCESSES = 8.0  # counted in advance, so that one reset by chance rules out no idle time
-REQUESTS_PER_PROBE = 8  # one in so many idempotent requests probes an idle time that is ruled out
+DECAY = 0.95  # factor on the weight of earlier uses with each new one; about the last twenty count
+MAX_RESET_SHARE = 0.2  # of the uses; above it, connections of this idle time are not reused
+ASSUMED_SUCCESSES = 8.0  # added to the uses, so that a single reset does not exclude an idle time
+REQUESTS_PER_PROBE = 8  # one in this many idempotent requests probes an excluded idle time
 
 
 def _bucket(idle_time: float) -> int:
@@ -15,10 +15,10 @@
 
 
 class IdleResetRates:
-    """Learns how long connections may have been idle before a request on them is likely to be reset.
+    """Estimates how long connections can be idle before a request on them is likely to be reset.
 
-    Endpoints, and devices in front of them, forget idle connections without closing them. The next request
-    then ends as a reset, after which one that is not idempotent can't be tried again.
+    Endpoints and network devices in front of them may drop idle connections without closing them. The next
+    request then ends in a reset, after which it cannot be retried unless it is idempotent.
     """
 
     def __init__(self) -> None:
@@ -26,13 +26,13 @@
         self._probe_candidates = 0
 
     def record(self, idle_time: float, was_reset: bool) -> None:
-        """Record whether a request, written after so many seconds idle, was reset before any byte came."""
+        """Record whether a request on a connection with this idle time was reset before any response byte."""
         bucket = _bucket(idle_time)
         self._uses[bucket] = self._uses[bucket] * DECAY + 1.0
         self._resets[bucket] = self._resets[bucket] * DECAY + was_reset
 
     def may_reuse(self, idle_time: float, idempotent: bool) -> bool:
-        """Return whether a request may go on a connection that has been idle for so many seconds."""
+        """Return whether a request may be sent on a connection with this idle time, in seconds."""
         bucket = _bucket(idle_time)
         if self._resets[bucket] <= MAX_RESET_SHARE * (self._uses[bucket] + ASSUMED_SUCCESSES):
             return True
--- a/rushroad/proxy/transient_errors.py
+++ b/rushroad/proxy/transient_errors.py
@@ -1,4 +1,4 @@
-"""Errors of system calls that go away by themselves, and calls that are tried again while they last."""
+"""Transient errors of system calls and helpers that retry on them."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 ADDRESS_ERRORS = frozenset({errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENETDOWN})
 FILE_ERRORS = frozenset({errno.EBUSY, errno.EIO, errno.ESTALE, errno.ETIMEDOUT})
 TRANSIENT_ERRORS = RESOURCE_ERRORS | ADDRESS_ERRORS | FILE_ERRORS
-START_RETRY_TIME_S = 20.0  # seconds for which a start retries; the gateway has to be ready within 30
-RETRY_INTERVAL_S = 0.05  # seconds between attempts
+START_RETRY_TIME_S = 20.0  # the gateway has to be ready within 30 s of its start
+RETRY_INTERVAL_S = 0.05
 MAX_POLL_ATTEMPTS = 3
 T = TypeVar("T")
 
@@ -24,9 +24,9 @@
     retry_time: float = START_RETRY_TIME_S,
     retried_errors: frozenset[int] = TRANSIENT_ERRORS,
 ) -> T:
-    """Return the action's result, retrying for `retry_time` seconds where it fails with one of these errors.
+    """Return the result of `operation`, retrying on `retried_errors` for up to `retry_time` seconds.
 
-    Raises the action's last OSError after that time, and any other error at once.
+    After that time, raises the last OSError; any other error is raised immediately.
     """
     retry_until = time.monotonic() + retry_time
     while True:
@@ -39,17 +39,17 @@
 
 
 def is_readable(descriptor: int) -> bool:
-    """Whether data or an end of stream waits on a descriptor; True where the system can't tell."""
+    """Return whether unread data or an end of stream is available; True if polling fails."""
     poll = select.poll()
     poll.register(descriptor, select.POLLIN)
     return poll_now(poll) != []
 
 
 def poll_now(poll: select.poll) -> list[tuple[int, int]] | None:
-    """Return the descriptors that are ready now and their events; None where the system can't tell."""
+    """Return the ready descriptors with their events without waiting, or None if polling fails."""
     for _ in range(MAX_POLL_ATTEMPTS):
         try:
             return poll.poll(0)
-        except OSError:  # out of memory for a moment
+        except OSError:  # temporarily out of memory
             continue
     return None
--- a/tests/proxy/test_arrival_times.py
+++ b/tests/proxy/test_arrival_times.py
@@ -1,4 +1,4 @@
-"""When bytes arrived that were read after a pause, and the memory that keeping this takes."""
+"""ArrivalTimes: arrival times of bytes read after a pause, and the memory that the records take."""
 
 import pytest
 
@@ -14,11 +14,11 @@
     arrivals.record(10, 1.0)
     arrivals.reading_paused(2.0)
     arrivals.reading_resumed(readable=True)
-    arrivals.record(10, 5.0)  # however late they are read
-    arrivals.reading_paused(5.01)  # the rest of the backlog still waits
+    arrivals.record(10, 5.0)  # regardless of the time of the read
+    arrivals.reading_paused(5.01)  # the rest of the backlog is still unread
     arrivals.reading_resumed(readable=True)
     arrivals.record(LARGE_READ_BYTES, 6.0)
-    arrivals.record(10, 6.0 + CATCH_UP_TIME_S)  # the system, or the peer, held more than one read returns
+    arrivals.record(10, 6.0 + CATCH_UP_TIME_S)  # data from the kernel's or the peer's buffer
     arrivals.record(10, 6.1 + CATCH_UP_TIME_S)
     ends = [10, 20, 20 + LARGE_READ_BYTES, 30 + LARGE_READ_BYTES, 40 + LARGE_READ_BYTES]
     assert [arrivals.arrival_of(end) for end in ends] == [1.0, 2.0, 2.0, 2.0, 6.1 + CATCH_UP_TIME_S]
--- a/tests/proxy/test_clock.py
+++ b/tests/proxy/test_clock.py
@@ -8,13 +8,13 @@
 def test_gateways_agree_on_the_time_and_ignore_changes_of_the_system_clock(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The numbers of the shared counter's windows come from the clock, and must be the same everywhere.
+    # The shared counter's windows are numbered by the clock, so the numbers must be the same on all gateways.
     unix, since_start = 1_800_000_000_000_000_000, {"now": 5_000_000_000}
     monkeypatch.setattr("time.time_ns", lambda: unix + since_start["now"])
     monkeypatch.setattr("time.monotonic_ns", lambda: since_start["now"])
     first = Clock()
     since_start["now"] += 7_000_000_000
-    # The second gateway is on a machine that was started later.
+    # The second gateway runs on a machine that was booted later.
     monkeypatch.setattr("time.monotonic_ns", lambda: since_start["now"] - 6_000_000_000)
     second = Clock()
     assert second.now_us() == (unix + since_start["now"]) // 1_000
--- a/tests/proxy/test_garbage_collection.py
+++ b/tests/proxy/test_garbage_collection.py
@@ -1,4 +1,4 @@
-"""Garbage collections leave out the objects kept for endpoints."""
+"""Garbage collections exclude the objects kept for endpoints."""
 
 import asyncio
 import gc
@@ -10,7 +10,7 @@
 from tests.support.loopback import run
 
 
-def test_endpoints_are_frozen_after_each_ten_thousand_entries(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_endpoints_are_frozen_after_every_ten_thousand_entries(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         freezer = EndpointFreezer(asyncio.get_running_loop())
         for _ in range(3 * FREEZE_AFTER_ENTRIES // MAX_ENDPOINTS_PER_PART):
--- a/tests/proxy/test_idle_resets.py
+++ b/tests/proxy/test_idle_resets.py
@@ -1,4 +1,4 @@
-"""IdleResetRates: which idle times are ruled out after resets, and when they are allowed again."""
+"""IdleResetRates: which idle times are excluded after resets, and when they are allowed again."""
 
 import pytest
 
@@ -10,11 +10,11 @@
     return IdleResetRates()
 
 
-def test_idle_time_of_repeated_resets_is_ruled_out_but_for_probes_until_requests_succeed(
+def test_idle_time_with_repeated_resets_is_excluded_except_for_probes_until_requests_succeed(
     rates: IdleResetRates,
 ) -> None:
-    # Devices between may forget a connection long before the endpoint closes it, and only the next request
-    # shows it.
+    # Network devices may drop a connection long before the endpoint closes it, which only the next request
+    # reveals.
     for _ in range(20):
         rates.record(0.01, False)
         rates.record(0.3, True)
@@ -27,6 +27,6 @@
     assert rates.may_reuse(0.3, idempotent=False)
 
 
-def test_single_reset_rules_out_no_idle_time(rates: IdleResetRates) -> None:
+def test_single_reset_does_not_exclude_an_idle_time(rates: IdleResetRates) -> None:
     rates.record(0.3, True)
     assert rates.may_reuse(0.3, idempotent=False)
--- a/tests/proxy/test_loop_lag.py
+++ b/tests/proxy/test_loop_lag.py
@@ -1,4 +1,4 @@
-"""Since when input may have waited for the event loop, around a stall of the loop."""
+"""LoopLagMonitor: earliest arrival times of input that is read during and after a stall of the event loop."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class ManualLoop:
-    """A loop whose clock and timers the test moves."""
+    """An event loop whose clock and timers are controlled by the test."""
 
     def __init__(self) -> None:
         self.now = 100.0
