--- a/rushroad/proxy/arrival_times.py
+++ b/rushroad/proxy/arrival_times.py
@@ -5,7 +5,7 @@
 import math
 from collections import deque
 
-CATCH_UP_TIME_S = 0.2  # after a backlog was read, in which more of it may arrive from the peer's buffers
+CATCH_UP_TIME_S = 0.2  # time after reading a backlog in which more of it may arrive from the peer's buffers
 LARGE_READ_BYTES = 64 * 1024  # a read of this size may have left data in the kernel's buffer
 MERGE_INTERVAL_S = 0.005  # reads closer together share an entry, which limits the memory for small reads
 
--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -17,9 +17,7 @@
 MAX_UNANSWERED = 64  # pipelined commands of a connection; later ones wait until earlier ones are answered
 MAX_COMMANDS_PER_BATCH = 64  # processed on one connection before other connections are served
 INVALID_COMMAND_PAUSE_S = 0.05  # reading pauses, so that repeated invalid commands do not use up CPU time
-READ_AHEAD_BYTES = (
-    8 * 1024
-)  # of unprocessed commands; beyond, reading pauses and arrival times are less exact
+READ_AHEAD_BYTES = 8 * 1024  # unprocessed; above, reading pauses, which makes arrival times less exact
 MAX_LINGERING_READ_BYTES = 256 * 1024  # closing with unread bytes would reset the connection and lose answers
 
 
@@ -82,7 +80,7 @@
     def resume_writing(self) -> None:
         """Continue, as the client reads again.
 
-        The time-out runs on if the end of the stream was sent: the client still has to close in time.
+        The timeout runs on if the end of the stream was sent: the client still has to close in time.
         """
         if self.ended_at is None:
             self._table.stop_timeout(self)
--- a/rushroad/proxy/configuration.py
+++ b/rushroad/proxy/configuration.py
@@ -40,7 +40,7 @@
 
     listen: Address
     discovery: Address
-    counter: Address | None  # None where the deployment has no counter
+    counter: Address | None  # None if the deployment has no counter
     seed: int
     memory_limit: int  # bytes
     max_upstream_connections: int
--- a/rushroad/proxy/connection_table.py
+++ b/rushroad/proxy/connection_table.py
@@ -1,4 +1,4 @@
-"""The table of client connections, which enforces limits on their number, time-outs and unread answers."""
+"""The table of client connections, which enforces limits on their number, timeouts and unread answers."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 MIN_IDLE_TIME_S = 2.0  # a connection stays open for this time after its last answer
 MAX_IDLE_FRACTION = 0.25  # of the connection limit; above it, the connections idle for longest are closed
 MAX_PENDING_FRACTION = 0.25  # of the connection limit; above it, new connections evict pending ones
-MAX_UNREAD_BYTES = 8 << 20  # total of answers that clients can leave unread after their time-out
+MAX_UNREAD_BYTES = 8 << 20  # total of answers that clients can leave unread after their timeout
 
 
 class ConnectionTable:
-    """The open client connections, their time-outs and the objects that they share."""
+    """The open client connections, their timeouts and the objects that they share."""
 
     def __init__(
         self, engine: Engine, schema: CommandSchema, max_connections: int, loop: asyncio.AbstractEventLoop
@@ -69,20 +69,20 @@
         self.disconnect_poller.unwatch(connection)
 
     def start_timeout(self, connection: ClientConnection) -> None:
-        """Start the time-out within which the client has to act, unless it is running."""
+        """Start the timeout within which the client has to act, unless it is running."""
         self._timeouts.setdefault(connection, self.loop.time())
 
     def restart_timeout(self, connection: ClientConnection) -> None:
-        """Start the time-out within which the client has to act, or start it anew."""
+        """Start the timeout within which the client has to act, or start it anew."""
         self._timeouts.pop(connection, None)
         self._timeouts[connection] = self.loop.time()
 
     def stop_timeout(self, connection: ClientConnection) -> None:
-        """Stop the time-out: the client has acted, or the connection is closing."""
+        """Stop the timeout: the client has acted, or the connection is closing."""
         self._timeouts.pop(connection, None)
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """Mark a connection without unanswered commands as idle, unless its time-out is running."""
+        """Mark a connection without unanswered commands as idle, unless its timeout is running."""
         self._idle_since.pop(connection, None)
         if connection in self.open and connection not in self._timeouts:
             self._idle_since[connection] = self.loop.time()
@@ -92,7 +92,7 @@
         self._idle_since.pop(connection, None)
 
     def may_leave_unread(self, connection: ClientConnection) -> bool:
-        """Return whether a client may leave its answers unread after its time-out.
+        """Return whether a client may leave its answers unread after its timeout.
 
         This is allowed until the longest deadline, as long as all unread answers fit in MAX_UNREAD_BYTES.
         """
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -76,7 +76,7 @@
         self._loop = loop
         self._policy = Gateway(settings, seed, self.clock.now_us())
         self._request_ids = itertools.count(1)
-        self._requests: dict[int, InFlightRequest] = {}  # by id; removed once the policy knows the end
+        self._requests: dict[int, InFlightRequest] = {}  # by id, until the policy has processed their end
         self._attempts: dict[AttemptKey, Attempt] = {}  # attempts in flight
         self._call_ids: set[bytes] = set()  # of requests that are unanswered or have attempts in flight
         self._endpoint_updates: deque[EndpointUpdate] = deque()
--- a/rushroad/proxy/idle_resets.py
+++ b/rushroad/proxy/idle_resets.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-FIRST_BUCKET_S = 0.025  # upper bound of the first bucket of idle times; it doubles with each further bucket
+FIRST_BUCKET_S = 0.025  # upper bound of the first bucket of idle times; the bound doubles with each bucket
 BUCKET_COUNT = 12
 DECAY = 0.95  # factor on the weight of earlier uses with each new one; about the last twenty count
 MAX_RESET_SHARE = 0.2  # of the uses; above it, connections of this idle time are not reused
--- a/rushroad/proxy/in_flight.py
+++ b/rushroad/proxy/in_flight.py
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One forwarding of a request to an endpoint."""
+    """An attempt to forward a request to an endpoint."""
 
     request_id: int
     number: int  # counts the attempts of the request from 0
--- a/rushroad/proxy/nonblocking_log.py
+++ b/rushroad/proxy/nonblocking_log.py
@@ -8,7 +8,7 @@
 import time
 from typing import Any
 
-STDERR_FD = 2  # file descriptor
+STDERR_FD = 2
 MAX_LINES_PER_SECOND = 20  # so that a peer that sends malformed data cannot flood the log
 MAX_LINE_BYTES = 4_000  # with the newline; a pipe polled as writable accepts PIPE_BUF (4,096) bytes at once
 REPORT_INTERVAL_S = 1.0  # between attempts to report how many lines were dropped
--- a/rushroad/proxy/shutdown.py
+++ b/rushroad/proxy/shutdown.py
@@ -11,9 +11,9 @@
 from rushroad.proxy.discovery import Discovery
 from rushroad.proxy.upstream import Upstream
 
-ACCEPT_TIME_S = 0.5  # after SIGTERM, in which new connections are still accepted
-MAX_REQUEST_TIME_S = 3.0  # after SIGTERM, in which requests can finish, even if their deadlines are longer
-LAST_ANSWERS_TIME_S = 0.5  # after that, in which the other requests are answered; SIGKILL follows after 0.7 s
+ACCEPT_TIME_S = 0.5  # new connections are accepted for this time after SIGTERM
+MAX_REQUEST_TIME_S = 3.0  # after SIGTERM; requests with later deadlines are answered early
+LAST_ANSWERS_TIME_S = 0.5  # after that, for answering the remaining requests; SIGKILL follows after 0.7 s
 TERMINATION_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
--- a/tests/proxy/test_client_command.py
+++ b/tests/proxy/test_client_command.py
@@ -77,7 +77,7 @@
         (b"",),
     ],
 )
-def test_invalid_command_is_answered_with_an_error_and_the_connection_goes_on(
+def test_invalid_command_is_answered_with_an_error_and_the_connection_stays_open(
     run_scenario: RunScenario, arguments: tuple[bytes, ...]
 ) -> None:
     async def scenario(gateway: ClientSide) -> None:
--- a/tests/proxy/test_connection_table.py
+++ b/tests/proxy/test_connection_table.py
@@ -1,4 +1,4 @@
-"""The limits that the table enforces: number of connections, idle time, time-outs and unread answers."""
+"""The limits that the table enforces: number of connections, idle time, timeouts and unread answers."""
 
 import asyncio
 from dataclasses import replace
--- a/tests/proxy/test_disconnect_poll.py
+++ b/tests/proxy/test_disconnect_poll.py
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("max_unanswered", [1, MAX_UNANSWERED])
 @pytest.mark.parametrize("abrupt", [True, False])
-def test_disconnect_is_noticed_while_reading_is_paused(
+def test_disconnect_is_detected_while_reading_is_paused(
     run_scenario: RunScenario, max_unanswered: int, abrupt: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Otherwise its commands, including those that are still unread, would be forwarded.
@@ -36,7 +36,7 @@
     run_scenario(scenario)
 
 
-def test_disconnect_is_noticed_while_answers_are_unread(run_scenario: RunScenario) -> None:
+def test_disconnect_is_detected_while_answers_are_unread(run_scenario: RunScenario) -> None:
     async def scenario(gateway: ClientSide) -> None:
         _, writer = await gateway.connect()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -120,9 +120,7 @@
         data = await gateway.endpoint.answer(OK)
         deadline = re.search(rb",d=(\d+),", data)
         assert deadline is not None
-        assert (
-            0 < int(deadline[1]) <= 890
-        )  # limited by the client's deadline; the policy's time-out is longer
+        assert 0 < int(deadline[1]) <= 890  # the client's deadline, which is shorter than the timeout
         assert data == call(1).replace(b",d=900,", deadline[0])
         assert await reader.readexactly(11) == b"$5\r\nvalue\r\n"
 
