--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -1,4 +1,4 @@
-"""The gateway process: starts its parts, connects them, and runs until SIGTERM."""
+"""The entry point of the gateway process: creates and connects its parts, and runs until SIGTERM."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 from rushroad.proxy.nonblocking_log import log
 from rushroad.proxy.shutdown import shut_down, termination_event
 from rushroad.proxy.transient_errors import (
-    RETRY_INTERVAL,
-    START_RETRY_TIME,
+    RETRY_INTERVAL_S,
+    START_RETRY_TIME_S,
     TRANSIENT_ERRORS,
     retry_transient,
 )
 from rushroad.proxy.upstream import Upstream
 
-FIRST_UPDATE_TIMEOUT = 0.3  # seconds that a start waits for discovery before it uses the cached endpoint list
+FIRST_UPDATE_TIMEOUT_S = 0.3  # wait for discovery at startup; after it, the cached endpoint list is used
 EXIT_OK, EXIT_START_FAILED = 0, 2
 
 
 def _update_handler(engine: Engine, upstream: Upstream, loop: asyncio.AbstractEventLoop) -> UpdateHandler:
-    """Return what passes endpoint updates to all parts that use them."""
+    """Return the handler that passes endpoint updates to all parts that use them."""
     freezer = EndpointFreezer(loop)
 
     def apply_update(update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
@@ -55,7 +55,7 @@
 def _connect_counter(
     configuration: Configuration, engine: Engine, loop: asyncio.AbstractEventLoop
 ) -> CounterClient | None:
-    """Connect the engine to the counter; None where the deployment has none."""
+    """Connect the engine to the counter; return None if the deployment has none."""
     settings = configuration.settings.counter
     if settings is None or configuration.counter is None:
         return None
@@ -65,7 +65,10 @@
 
 
 async def serve() -> None:
-    """Serve until SIGTERM or SIGINT. Raises like `read_configuration`, and OSError where it can't listen."""
+    """Serve until SIGTERM or SIGINT.
+
+    Raises the errors of `read_configuration`, and OSError if listening fails.
+    """
     loop = asyncio.get_running_loop()
     terminated = termination_event(loop)
     loop.set_exception_handler(log.handle_loop_exception)
@@ -84,13 +87,13 @@
 
     apply_update = _update_handler(engine, upstream, loop)
     version = await retry_transient(lambda: read_cached_endpoints(proxy_settings, memory_limit, apply_update))
-    generator = random.Random(configuration.seed)
+    random_generator = random.Random(configuration.seed)
     discovery = Discovery(
-        configuration.discovery, version, proxy_settings, apply_update, loop, generator, memory_limit
+        configuration.discovery, version, proxy_settings, apply_update, loop, random_generator, memory_limit
     )
     reloads = start_reloads(loop, discovery, counter)
     with suppress(TimeoutError):
-        async with asyncio.timeout(FIRST_UPDATE_TIMEOUT):
+        async with asyncio.timeout(FIRST_UPDATE_TIMEOUT_S):
             await discovery.updated.wait()
     await retry_transient(lambda: listener.listen(*configuration.listen))
     freeze_startup_objects()
@@ -100,19 +103,19 @@
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
-    """Create the event loop, retrying while the system has no descriptors or memory for it."""
-    retry_until = time.monotonic() + START_RETRY_TIME
+    """Create the event loop, retrying while the system lacks descriptors or memory."""
+    retry_until = time.monotonic() + START_RETRY_TIME_S
     while True:
         try:
             return uvloop.new_event_loop()
         except OSError as error:
             if error.errno not in TRANSIENT_ERRORS or time.monotonic() > retry_until:
                 raise
-        time.sleep(RETRY_INTERVAL)
+        time.sleep(RETRY_INTERVAL_S)
 
 
 def main() -> int:
-    """Run the gateway; return 0 after SIGTERM, and 2, with one log line, where it can't start."""
+    """Run the gateway; return 0 after a shutdown, or 2 after logging an error if it cannot start."""
     block_reloads()
     try:
         with asyncio.Runner(loop_factory=new_event_loop) as runner:
