--- a/rushroad/bench/load.py
+++ b/rushroad/bench/load.py
@@ -31,7 +31,7 @@
 )
 from rushroad.bench.pings import Pings
 from rushroad.bench.worker import serve_commands
-from rushroad.proxy.resp import pack
+from rushroad.proxy.resp import encode_array
 
 MAX_LATENCY_US = 60_000_000  # of a histogram
 SIGNIFICANT_DIGITS = 3  # that a histogram keeps
@@ -79,7 +79,7 @@
             f"c={command.request_class},t={command.plan},d={command.deadline_ms},units=1,"
             f"spread={command.entry_points},first={first}"
         )
-        packed = pack([b"CALL.GET", b"%016x" % tenant, request_id, terms.encode()])
+        packed = encode_array([b"CALL.GET", b"%016x" % tenant, request_id, terms.encode()])
         request = ClientRequest(due_at, request_id, packed)
         timeout = command.deadline_ms / 1e3 + ANSWER_GRACE_S
         request.timer = self._loop.call_later(timeout, self.end, request, Outcome.LOST, 0)
--- a/rushroad/bench/real/gateway_processes.py
+++ b/rushroad/bench/real/gateway_processes.py
@@ -18,7 +18,7 @@
 from rushroad.bench.real.gateway_settings import PLAN, REQUEST_CLASS, gateway_settings
 from rushroad.bench.real.run_limits import RunLimitExceededError, check_memory
 from rushroad.bench.worker import ROOT
-from rushroad.proxy.resp import pack
+from rushroad.proxy.resp import encode_array
 
 DEPLOY_FILE = ROOT / "deploy/balancer.toml"
 ADDRESS_PREFIX = "127.92.0."  # and a number from 1: addresses where nothing else takes ports
@@ -124,7 +124,7 @@
             while time.monotonic() < until:
                 number += 1
                 terms = f"c={REQUEST_CLASS},t={PLAN},d=10000,units=1,spread=1,first={self.index}".encode()
-                client.sendall(pack([b"CALL.GET", b"%016x" % number, b"%016x" % number, terms]))
+                client.sendall(encode_array([b"CALL.GET", b"%016x" % number, b"%016x" % number, terms]))
                 if client.recv(MAX_ANSWER_BYTES).startswith(b"$"):
                     return time.monotonic() - self.started_at
                 time.sleep(RETRY_INTERVAL_S)
--- a/rushroad/proxy/address.py
+++ b/rushroad/proxy/address.py
@@ -7,7 +7,7 @@
 MAX_PORT = 65_535
 
 
-def read_address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Host and port of `host:port`. Raises ValueError where the text is none."""
     host, _, port = text.rpartition(":")
     if not host or not 0 < int(port) <= MAX_PORT:
--- a/rushroad/proxy/client_command.py
+++ b/rushroad/proxy/client_command.py
@@ -139,7 +139,7 @@
         deadline = b"d=%d" % max(1, time_remaining // 1_000)
         items = self.words[3].split(b",")
         options = b",".join([deadline if item.startswith(b"d=") else item for item in items])
-        return resp.pack([*self.words[:3], options, *self.words[4:]])
+        return resp.encode_array([*self.words[:3], options, *self.words[4:]])
 
     def succeed(self, value: bytes) -> None:
         """Answer with a rate server's value."""
--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -68,7 +68,7 @@
         self._reader.feed(data)
         if not self._blocked_by:
             self._take_commands()
-        elif self._reader.waiting > READ_AHEAD_BYTES:
+        elif self._reader.unread_bytes > READ_AHEAD_BYTES:
             self._pause_reading()
 
     def pause_writing(self) -> None:
@@ -112,7 +112,7 @@
             return
         if self._input_closed:
             return
-        self._update_timeout(taken, partial=words is None and not self._reader.empty())
+        self._update_timeout(taken, partial=words is None and not self._reader.at_message_boundary())
         if len(self.unanswered) >= MAX_UNANSWERED:
             self._block(BlockReason.PIPELINE_FULL)
         if any_invalid or taken >= MAX_COMMANDS_PER_TURN:
@@ -122,7 +122,7 @@
 
     def _take_command(self, words: list[bytes]) -> bool:
         """Submit or answer one command; return False where it is not valid."""
-        command = ClientCommand(self, self._arrivals.arrival_of(self._reader.consumed))
+        command = ClientCommand(self, self._arrivals.arrival_of(self._reader.consumed_bytes))
         self.unanswered.append(command)
         self._table.mark_busy(self)
         try:
@@ -186,7 +186,7 @@
     def _block(self, reason: int) -> None:
         """Take no commands for now. Only with a full pipeline is it still read, to know when they arrive."""
         self._blocked_by |= reason
-        if self._blocked_by & ~BlockReason.PIPELINE_FULL or self._reader.waiting > READ_AHEAD_BYTES:
+        if self._blocked_by & ~BlockReason.PIPELINE_FULL or self._reader.unread_bytes > READ_AHEAD_BYTES:
             self._pause_reading()
 
     def _unblock(self, reason: int) -> None:
@@ -223,7 +223,7 @@
         """
         if self.unanswered or self.ended_at is not None or self.transport.is_closing():
             return
-        command_coming = self._received_nothing or not self._reader.empty()
+        command_coming = self._received_nothing or not self._reader.at_message_boundary()
         if await_command and command_coming and not self._input_closed:
             return
         self._input_closed = True
@@ -247,7 +247,7 @@
             self._table.restart_timeout(self)
         elif answers_unread or self.ended_at is not None or self.transport.is_closing():
             self.abort()
-        elif self._reader.empty():
+        elif self._reader.at_message_boundary():
             self.close(await_command=False)
         else:
             self._refuse_input("the rest of the command did not come")
--- a/rushroad/proxy/configuration.py
+++ b/rushroad/proxy/configuration.py
@@ -12,7 +12,7 @@
 from rushroad.policy.events import UpdateKind
 from rushroad.policy.settings import Settings, SettingsError
 from rushroad.policy.settings_reader import ProxySettings, read_proxy_settings, read_settings
-from rushroad.proxy.address import Address, read_address
+from rushroad.proxy.address import Address, parse_address
 from rushroad.proxy.counter_client import CounterClient
 from rushroad.proxy.discovery import Discovery, UpdateHandler
 from rushroad.proxy.endpoint_decoder import (
@@ -97,10 +97,10 @@
             memory_limit=int(limits["memory_mb"] * 1e6),
             max_upstream_connections=max_upstream_connections,
             max_client_connections=sockets - max_upstream_connections,
-            listen=read_address(document["listen"]),
-            discovery=read_address(document["discovery"]),
+            listen=parse_address(document["listen"]),
+            discovery=parse_address(document["discovery"]),
             seed=int(document["seed"], 16),
-            counter=read_address(document["counter"]) if settings.counter is not None else None,
+            counter=parse_address(document["counter"]) if settings.counter is not None else None,
             settings=settings,
             proxy_settings=proxy_settings,
         )
@@ -138,8 +138,8 @@
     """Use the addresses in the new file. Where one of them can't be read, nothing changes."""
     try:
         document = await retry_transient(read_document, RELOAD_RETRY_TIME, RELOAD_RETRIED_ERRORS)
-        discovery_address = read_address(document["discovery"])
-        counter_address = None if counter is None else read_address(document["counter"])
+        discovery_address = parse_address(document["discovery"])
+        counter_address = None if counter is None else parse_address(document["counter"])
     except (OSError, RecursionError, *UNEXPECTED_JSON_ERRORS) as error:
         log(f"the new configuration can't be read; keeping the old one: {error!r}")
         return
--- a/rushroad/proxy/endpoint_decoder.py
+++ b/rushroad/proxy/endpoint_decoder.py
@@ -11,7 +11,7 @@
 
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from rushroad.policy.settings_reader import ProxySettings
-from rushroad.proxy.address import NO_ADDRESS, Address, read_address
+from rushroad.proxy.address import NO_ADDRESS, Address, parse_address
 from rushroad.proxy.json_splitter import JsonRun, JsonSplitter
 from rushroad.proxy.nonblocking_log import log
 
@@ -106,7 +106,7 @@
         weight=entry.weight,
     )
     # A removed endpoint may have no address any more; its removal has to be taken all the same.
-    address = NO_ADDRESS if state is EndpointState.REMOVED else read_address(entry.host_port)
+    address = NO_ADDRESS if state is EndpointState.REMOVED else parse_address(entry.host_port)
     return endpoint, address
 
 
--- a/rushroad/proxy/resp.py
+++ b/rushroad/proxy/resp.py
@@ -23,9 +23,9 @@
     """
 
 
-def pack(words: list[bytes]) -> bytes:
+def encode_array(items: list[bytes]) -> bytes:
     """Encode a command, or any array of strings."""
-    return b"*%d\r\n%b" % (len(words), b"".join([b"$%d\r\n%b\r\n" % (len(word), word) for word in words]))
+    return b"*%d\r\n%b" % (len(items), b"".join([b"$%d\r\n%b\r\n" % (len(item), item) for item in items]))
 
 
 class Reader:
@@ -62,17 +62,17 @@
         self._data = self._data[self._position :] + data if self._position < len(self._data) else data
         self._position = 0
 
-    def empty(self) -> bool:
+    def at_message_boundary(self) -> bool:
         """Return whether the last message is whole and nothing follows it."""
         return self._position >= len(self._data) and not self._items_missing
 
     @property
-    def consumed(self) -> int:
+    def consumed_bytes(self) -> int:
         """Bytes read since the first that came; after a message, the position of its end."""
         return self._consumed_before + self._position
 
     @property
-    def waiting(self) -> int:
+    def unread_bytes(self) -> int:
         """Bytes that have come and have not been read."""
         return len(self._data) - self._position
 
--- a/rushroad/proxy/upstream_connection.py
+++ b/rushroad/proxy/upstream_connection.py
@@ -96,7 +96,7 @@
         if message is None and attempt is not None:
             return
         # It is reused only after a response that the protocol knows, with nothing behind it.
-        reusable = attempt is not None and self._reader.empty() and not self.unwritten
+        reusable = attempt is not None and self._reader.at_message_boundary() and not self.unwritten
         self.attempt = None
         if attempt is not None and message is not None:
             response = pool.upstream.decoder.decode(message)
--- a/tests/bench/stand_ins/test_discovery.py
+++ b/tests/bench/stand_ins/test_discovery.py
@@ -12,7 +12,7 @@
     StartStandIns,
 )
 from rushroad.bench.worker import Worker
-from rushroad.proxy.resp import pack
+from rushroad.proxy.resp import encode_array
 from tests.support.bench_peers import connect, next_message, open_watch, read_until
 
 
@@ -50,7 +50,7 @@
     stand_ins: Worker, addresses: StandInAddresses
 ) -> None:
     with connect(addresses.first_rate_server.replace("127.64.0.0:", "127.64.0.9:")) as gateway:
-        gateway.sendall(pack([b"CALL.GET", b"%016x" % 5, b"%016x" % 9, b"c=lookup,t=basic,d=900"]))
+        gateway.sendall(encode_array([b"CALL.GET", b"%016x" % 5, b"%016x" % 9, b"c=lookup,t=basic,d=900"]))
         read_until(gateway, b"inflight=1\r\n")
     with open_watch(addresses.discovery, 1) as watch:
         removed = stand_ins.call(RemoveEndpoints(count=2), RemovedEndpoints)
--- a/tests/bench/stand_ins/test_rate_servers.py
+++ b/tests/bench/stand_ins/test_rate_servers.py
@@ -13,7 +13,7 @@
 )
 from rushroad.bench.stand_ins.rate_servers import LATE_AFTER_S, RateServers, rate_server_address
 from rushroad.bench.worker import Worker
-from rushroad.proxy.resp import pack
+from rushroad.proxy.resp import encode_array
 from tests.support.bench_peers import connect, read_until
 
 
@@ -56,7 +56,7 @@
     with connect(addresses.first_rate_server) as gateway:
         terms = b"c=lookup,t=basic,d=900,units=1,spread=1,first=0"
         words = [b"CALL.GET", b"%016x" % 5, b"%016x" % 9, terms]
-        gateway.sendall(pack(words) + pack([b"PING"]) + pack([b"CALL.GET"]))
+        gateway.sendall(encode_array(words) + encode_array([b"PING"]) + encode_array([b"CALL.GET"]))
         items = read_until(gateway, b"-SYNTAX\r\n").split(b"\r\n")
         assert items[0] == b"*3"
         assert items[2].startswith(b"%016x " % 9)  # the request's id; the work in microseconds follows
--- a/tests/proxy/test_resp.py
+++ b/tests/proxy/test_resp.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rushroad.proxy.resp import MAX_LINE_BYTES, MAX_VALUE_BYTES, ProtocolError, Reader, pack
+from rushroad.proxy.resp import MAX_LINE_BYTES, MAX_VALUE_BYTES, ProtocolError, Reader, encode_array
 
 
 def read(data: bytes, responses: bool, step: int) -> list[object]:
@@ -12,14 +12,14 @@
         reader.feed(data[start : start + step])
         while (message := reader.next()) is not None:
             messages.append(message)
-    assert reader.empty()
+    assert reader.at_message_boundary()
     return messages
 
 
 @pytest.mark.parametrize("step", [1, 2, 7, 10_000])
 def test_messages_are_read_from_pieces_of_any_length(step: int) -> None:
     words = [b"a\r\nb", b"", b"x" * 300]
-    assert read(pack(words) + pack([b"PING"]), False, step) == [words, [b"PING"]]
+    assert read(encode_array(words) + encode_array([b"PING"]), False, step) == [words, [b"PING"]]
     response = b"*3\r\n$1\r\nv\r\n$-1\r\n*-1\r\n-BUSY\r\n*3\r\n$0\r\n\r\n:12\r\n+odd\r\n"
     assert read(response, True, step) == [[b"v", None, None], b"BUSY", [b"", None, None]]
 
--- a/tests/support/gateway_cluster.py
+++ b/tests/support/gateway_cluster.py
@@ -56,7 +56,7 @@
     """A client's command for a request of the class `name`; the class `quote` has no body."""
     terms = b"c=%b,t=small,d=%d,units=%d,spread=%d,first=0" % (name, time_remaining_ms, units, spread)
     words = [b"CALL.GET" if name == b"quote" else b"CALL.POST", b"%016x" % tenant, b"%016x" % request]
-    return resp.pack([*words, terms] if name == b"quote" else [*words, terms, body])
+    return resp.encode_array([*words, terms] if name == b"quote" else [*words, terms, body])
 
 
 @dataclass
@@ -154,7 +154,7 @@
             assert self.processes[number].poll() is None, self.log(number)
             with suppress(ConnectionError):
                 client = await self.connect(number)
-                client.writer.write(resp.pack([b"PING"]))
+                client.writer.write(resp.encode_array([b"PING"]))
                 if await client.answer() == b"+PONG":
                     client.writer.close()
                     return
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -11,7 +11,7 @@
 from rushroad.proxy.client_command import CommandSchema
 from rushroad.proxy.clock import Clock
 from rushroad.proxy.in_flight import Attempt
-from rushroad.proxy.resp import pack
+from rushroad.proxy.resp import encode_array
 
 LOCAL = "127.0.0.1"
 NAMES = ProxySettings(
@@ -32,7 +32,7 @@
 
 
 def resp(*words: bytes) -> bytes:
-    return pack(list(words))
+    return encode_array(list(words))
 
 
 def call(number: int, terms: bytes = b"c=lookup,t=basic,d=900,units=2,spread=2,first=1") -> bytes:
