--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -91,7 +91,7 @@
     reloads = start_reloads(loop, discovery, counter)
     with suppress(TimeoutError):
         async with asyncio.timeout(FIRST_UPDATE_TIMEOUT):
-            await discovery.updated.wait()
+            await discovery.list_received.wait()
     await retry_transient(lambda: listener.listen(*configuration.listen))
     freeze_startup_objects()
 
--- a/rushroad/proxy/backoff.py
+++ b/rushroad/proxy/backoff.py
@@ -11,16 +11,16 @@
     Up to half of each pause is taken off at random: gateways that failed together do not retry in step.
     """
 
-    def __init__(self, first_pause: float, max_pause: float, generator: random.Random) -> None:
-        """first_pause, max_pause: seconds; generator: the source of the jitter."""
-        self._first_pause, self._max_pause, self._generator = first_pause, max_pause, generator
-        self._next_pause = first_pause
+    def __init__(self, initial_delay: float, max_delay: float, rng: random.Random) -> None:
+        """initial_delay, max_delay: seconds; rng: the source of the jitter."""
+        self._initial_delay, self._max_delay, self._rng = initial_delay, max_delay, rng
+        self._next_delay = initial_delay
 
-    def pause(self) -> float:
+    def next_delay(self) -> float:
         """Seconds to wait before the next attempt; doubles the pause after that."""
-        pause, self._next_pause = self._next_pause, min(self._max_pause, self._next_pause * 2)
-        return pause * self._generator.uniform(0.5, 1.0)
+        delay, self._next_delay = self._next_delay, min(self._max_delay, self._next_delay * 2)
+        return delay * self._rng.uniform(0.5, 1.0)
 
     def reset(self) -> None:
         """Start again from the first pause: an attempt has succeeded."""
-        self._next_pause = self._first_pause
+        self._next_delay = self._initial_delay
--- a/rushroad/proxy/configuration.py
+++ b/rushroad/proxy/configuration.py
@@ -143,9 +143,9 @@
     except (OSError, RecursionError, *UNEXPECTED_JSON_ERRORS) as error:
         log(f"the new configuration can't be read; keeping the old one: {error!r}")
         return
-    discovery.move(discovery_address)
+    discovery.set_address(discovery_address)
     if counter is not None and counter_address is not None:
-        counter.move(counter_address)
+        counter.set_address(counter_address)
 
 
 async def _reload_at_each(hangup: asyncio.Event, discovery: Discovery, counter: CounterClient | None) -> None:
--- a/rushroad/proxy/counter_client.py
+++ b/rushroad/proxy/counter_client.py
@@ -16,11 +16,11 @@
     encode_add,
 )
 
-CONNECTIONS = 2
-CONNECT_TIMEOUT = 1.0  # seconds
-FIRST_RECONNECT_DELAY = 0.05  # seconds before the second connect in a row; doubled with each further one
-MAX_RECONNECT_DELAY = 0.4  # seconds
-MONITOR_INTERVAL = 0.5  # seconds between checks of a connection
+CONNECTION_COUNT = 2
+CONNECT_TIMEOUT_S = 1.0  # seconds
+INITIAL_RECONNECT_DELAY_S = 0.05  # seconds before the second connect in a row; doubled with each further one
+MAX_RECONNECT_DELAY_S = 0.4  # seconds
+MONITOR_INTERVAL_S = 0.5  # seconds between checks of a connection
 
 
 class CallsInFlight:
@@ -49,12 +49,12 @@
         """
         self.loop = loop
         self._address, self._timeout, self._post = address, timeout / 1e6, post
-        self._connections: list[CounterConnection | None] = [None] * CONNECTIONS
+        self._connections: list[CounterConnection | None] = [None] * CONNECTION_COUNT
         self._in_flight: dict[int, CallsInFlight] = {}  # by name
         self._tasks = self._start_tasks()
 
     def _start_tasks(self) -> list[asyncio.Task[None]]:
-        return [self.loop.create_task(self._maintain_connection(index)) for index in range(CONNECTIONS)]
+        return [self.loop.create_task(self._maintain_connection(index)) for index in range(CONNECTION_COUNT)]
 
     def add(self, name: int, amount: float, lifetime: int) -> None:
         """Add to the total of a name; lifetime: microseconds that the counter keeps it.
@@ -78,12 +78,12 @@
     def connection_for(self, name: int) -> CounterConnection | None:
         """Return the connection for calls of a name: its own, or another one while that is not usable."""
         calls = self._in_flight.get(name)
-        connection = self._connections[name % CONNECTIONS] if calls is None else calls.connection
+        connection = self._connections[name % CONNECTION_COUNT] if calls is None else calls.connection
         if connection is not None and connection.is_usable():
             return connection
         return next((other for other in self._connections if other is not None and other.is_usable()), None)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """Connect to another address.
 
         Calls in flight end on their connections; new ones go there until those of the new address are up.
@@ -138,7 +138,7 @@
         delay = 0.0
         while True:
             try:
-                async with asyncio.timeout(CONNECT_TIMEOUT):
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     _, connection = await self.loop.create_connection(
                         lambda: CounterConnection(self), *self._address
                     )
@@ -151,13 +151,13 @@
             except OSError:  # a TimeoutError is one, too
                 pass
             await asyncio.sleep(delay)
-            delay = min(MAX_RECONNECT_DELAY, delay * 2 or FIRST_RECONNECT_DELAY)
+            delay = min(MAX_RECONNECT_DELAY_S, delay * 2 or INITIAL_RECONNECT_DELAY_S)
 
     async def _monitor(self, connection: CounterConnection) -> None:
         """Close a connection that is dead, and ping one that is idle, until it is lost."""
         while not connection.lost.is_set():
             with suppress(TimeoutError):
-                async with asyncio.timeout(MONITOR_INTERVAL):
+                async with asyncio.timeout(MONITOR_INTERVAL_S):
                     await connection.lost.wait()
             now = self.loop.time()
             if connection.is_dead(now):
--- a/rushroad/proxy/counter_connection.py
+++ b/rushroad/proxy/counter_connection.py
@@ -15,9 +15,9 @@
 if TYPE_CHECKING:
     from rushroad.proxy.counter_client import CounterClient
 
-PING_AFTER = 2.0  # seconds without a byte; the counter closes connections that are idle for 10 s
-DEAD_AFTER = 1.0  # seconds without a reply to the oldest call: longer than any queue of the counter
-MAX_LINE_BYTES = 256  # of a reply
+IDLE_PING_AFTER_S = 2.0  # seconds without a byte; the counter closes connections that are idle for 10 s
+UNRESPONSIVE_AFTER_S = 1.0  # seconds without a reply to the oldest call: longer than any queue of the counter
+MAX_REPLY_BYTES = 256  # of a reply
 
 PING, PING_REPLY = b"ping\r\n", b"pong"
 TOTAL, REJECTIONS = b"ok", (b"busy", b"error")
@@ -102,16 +102,16 @@
 
     def is_dead(self, now: float) -> bool:
         """Return whether its oldest call has waited too long; now: seconds of the loop's clock."""
-        return bool(self.calls) and now - self.calls[0].started_at > DEAD_AFTER
+        return bool(self.calls) and now - self.calls[0].started_at > UNRESPONSIVE_AFTER_S
 
     def needs_ping(self, now: float) -> bool:
         """Return whether it must be kept from timing out as idle; now: seconds of the loop's clock."""
-        return not self.calls and now - self._last_received_at > PING_AFTER and self.is_usable()
+        return not self.calls and now - self._last_received_at > IDLE_PING_AFTER_S and self.is_usable()
 
     def retire(self) -> None:
         """Take no new calls, and close once the calls without a reply have one, or had the time for it."""
         self.is_retired = True
-        self._client.loop.call_later(DEAD_AFTER if self.calls else 0, self.close)
+        self._client.loop.call_later(UNRESPONSIVE_AFTER_S if self.calls else 0, self.close)
 
     def send(self, call: CounterCall) -> None:
         """Send a call."""
@@ -137,7 +137,7 @@
                 self.close()
                 return
             self.has_replied = True
-        if len(self._buffer) > MAX_LINE_BYTES or (self.is_retired and not self.calls):
+        if len(self._buffer) > MAX_REPLY_BYTES or (self.is_retired and not self.calls):
             self.close()
 
     def close(self) -> None:
--- a/rushroad/proxy/discovery.py
+++ b/rushroad/proxy/discovery.py
@@ -26,12 +26,12 @@
 
 # Seconds without data after which another watch is opened: over two heartbeats. An update counts as notified
 # 6 s after the agent has it, whether or not it has arrived.
-SILENCE_TIMEOUT = 4.2
-RESPONSE_TIMEOUT = 0.3  # seconds that the local agent may take to answer before another watch is opened
+SILENCE_TIMEOUT_S = 4.2
+RESPONSE_TIMEOUT_S = 0.3  # seconds that the local agent may take to answer before another watch is opened
 # Seconds before a watch is opened again: the first pause and the longest. A drain, whose grace is short, may
 # be missed meanwhile.
-FIRST_RECONNECT_PAUSE = 0.1
-MAX_RECONNECT_PAUSE = 0.2
+INITIAL_RECONNECT_DELAY_S = 0.1
+MAX_RECONNECT_DELAY_S = 0.2
 MAX_PENDING_WATCHES = 6  # watches that have not answered yet; beyond that the oldest is closed
 UpdateHandler = Callable[[EndpointUpdate, list[ListedEndpoint]], None]
 
@@ -80,7 +80,7 @@
         if self._silence_timer is not None:
             self._silence_timer.cancel()
         self._silence_timer = self._discovery.loop.call_later(
-            SILENCE_TIMEOUT, self._resolve, self.silent_or_ended
+            SILENCE_TIMEOUT_S, self._resolve, self.silent_or_ended
         )
         try:
             self._http.receive_data(data)
@@ -177,23 +177,23 @@
         settings: ProxySettings,
         on_update: UpdateHandler,
         loop: asyncio.AbstractEventLoop,
-        generator: random.Random,
+        rng: random.Random,
         memory_limit: int = DEFAULT_MEMORY_LIMIT,
     ) -> None:
-        """version: of the endpoint list at hand, 0 for none; generator: jitter; memory_limit: bytes."""
+        """version: of the endpoint list at hand, 0 for none; rng: jitter; memory_limit: bytes."""
         self.loop = loop
         self.version = version
         self.address, self.settings, self.memory_limit = address, settings, memory_limit
-        self.updated = asyncio.Event()  # a whole list has come since the start
+        self.list_received = asyncio.Event()  # a whole list has come since the start
         self._on_update = on_update
-        self._backoff = Backoff(FIRST_RECONNECT_PAUSE, MAX_RECONNECT_PAUSE, generator)
+        self._backoff = Backoff(INITIAL_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S, rng)
         self._newest_started = version  # the newest version of which a part has come
         self._not_ready: set[str] = set()  # endpoints that parts of it name as draining or removed
         self._watch: WatchConnection | None = None  # the last one that was established
         self._pending: list[WatchConnection] = []  # not established yet
         self._task = loop.create_task(self._keep_watching())
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Watch at another address, from the version at hand; the old watch is read until it answers."""
         if address == self.address:
             return
@@ -223,7 +223,7 @@
         if ends_list:
             self.version = update.version
             self._backoff.reset()
-            self.updated.set()
+            self.list_received.set()
 
     def _without_revived(self, listed: list[ListedEndpoint]) -> list[ListedEndpoint]:
         """Leave out what an older list calls ready and a newer one, that broke off, draining or removed."""
@@ -269,11 +269,11 @@
                 self._pending.pop(0).close()
             watch = WatchConnection(self)
             self._pending.append(watch)
-            await asyncio.wait([watch.established_or_ended], timeout=RESPONSE_TIMEOUT)
+            await asyncio.wait([watch.established_or_ended], timeout=RESPONSE_TIMEOUT_S)
             # Another of them may have been the one that was established.
             if self._watch is not None and not self._pending:
                 await asyncio.wait([self._watch.silent_or_ended])
-            await asyncio.sleep(self._backoff.pause())
+            await asyncio.sleep(self._backoff.next_delay())
 
     def close(self) -> None:
         """Close all watches, at the end of the process."""
--- a/rushroad/proxy/endpoint_pool.py
+++ b/rushroad/proxy/endpoint_pool.py
@@ -9,7 +9,9 @@
     from rushroad.proxy.upstream import Upstream
     from rushroad.proxy.upstream_connection import UpstreamConnection
 
-SETTLE_TIME = 0.03  # seconds that a connection is not reused after a response: a surplus one follows by then
+SETTLE_TIME_S = (
+    0.03  # seconds that a connection is not reused after a response: a surplus one follows by then
+)
 SUSPECT_AFTER = 2  # attempts abandoned in a row after which idle connections are suspect
 
 
@@ -29,7 +31,7 @@
         now = self.upstream.loop.time()
         for connection in reversed(self.idle):
             idle_time = now - connection.idle_since
-            if idle_time < SETTLE_TIME:
+            if idle_time < SETTLE_TIME_S:
                 continue
             if not self.upstream.idle_resets.may_reuse(idle_time, idempotent):
                 break  # those before it have been idle for longer
--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -22,7 +22,7 @@
 from rushroad.proxy.client_listener import ClientListener
 from rushroad.proxy.engine import Engine
 from rushroad.proxy.upstream import Upstream
-from tests.support.attempts import LONG, OK, endpoint_at
+from tests.support.attempts import LONG_TIMEOUT_US, OK, endpoint_at
 from tests.support.client_side import ClientSide
 from tests.support.gateway_driver import SETTINGS
 from tests.support.loopback import LOCAL, SCHEMA, Peer, call, run
@@ -39,11 +39,11 @@
         case Request():
             yield CounterAdd(event.id, 1.0, 1_000)
         case CounterReply():
-            yield StartAttempt(event.name, "s-1", LONG)
+            yield StartAttempt(event.name, "s-1", LONG_TIMEOUT_US)
         case AttemptOutcome(final=False):
             yield SetTimer(0, event.request_id)
         case TimerFired():
-            yield StartAttempt(event.token, "s-1", LONG)
+            yield StartAttempt(event.token, "s-1", LONG_TIMEOUT_US)
 
 
 class HeldCounter:
@@ -107,7 +107,7 @@
     """Runs a scenario with an idle connection to the endpoint, which an attempt takes at once."""
 
     def play(script: Script, scenario: Scenario) -> None:
-        monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME", 0.0)
+        monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME_S", 0.0)
         policy = install_policy(monkeypatch, script)
 
         async def start() -> None:
--- a/tests/integration/test_large_endpoint_list.py
+++ b/tests/integration/test_large_endpoint_list.py
@@ -8,7 +8,7 @@
 from tests.support.attempts import OK
 from tests.support.gateway_process import configuration, connect, free_port, running_gateway
 from tests.support.loopback import LOCAL, call
-from tests.support.watch import HEAD, chunk, list_entries, list_line
+from tests.support.watch import RESPONSE_HEAD, chunk, list_entries, list_line
 
 ENDPOINTS = 97_000
 MAX_MEMORY = 128_000  # KB
@@ -35,7 +35,9 @@
         attempt.sendall(OK)
         assert client.recv(64) == b"$5\r\nvalue\r\n"
         newer = known.replace('"generation": 41', '"generation": 42') + "\n"
-        watch.sendall(HEAD + chunk(newer.encode()) + chunk(b"\n" + list_line(43, lifecycle="DRAINING")))
+        watch.sendall(
+            RESPONSE_HEAD + chunk(newer.encode()) + chunk(b"\n" + list_line(43, lifecycle="DRAINING"))
+        )
         watch.close()  # when all of it has been decoded, another is opened
         while b"from=43 " not in stack.enter_context(peers[0].accept()[0]).recv(4096):
             pass
--- a/tests/integration/test_unavailable_peers.py
+++ b/tests/integration/test_unavailable_peers.py
@@ -155,7 +155,7 @@
     monkeypatch.setattr("rushroad.proxy.discovery.asyncio.sleep", record_pause)
     run(scenario)
     longest = max(pauses)
-    assert longest <= discovery.MAX_RECONNECT_PAUSE
+    assert longest <= discovery.MAX_RECONNECT_DELAY_S
     # A watch falls silent; the next one finds the agent unreachable just then.
-    reconnect = 2 * discovery.RESPONSE_TIMEOUT + 2 * longest
-    assert discovery.SILENCE_TIMEOUT + reconnect < UPDATE_DEADLINE
+    reconnect = 2 * discovery.RESPONSE_TIMEOUT_S + 2 * longest
+    assert discovery.SILENCE_TIMEOUT_S + reconnect < UPDATE_DEADLINE
--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -16,7 +16,7 @@
 @pytest.fixture
 def no_settle_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let connections to endpoints be reused right after a response."""
-    monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME", 0.0)
+    monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME_S", 0.0)
 
 
 @pytest.fixture
--- a/tests/proxy/test_backoff.py
+++ b/tests/proxy/test_backoff.py
@@ -8,16 +8,16 @@
 def test_pauses_double_up_to_the_maximum_and_start_again_after_a_success() -> None:
     backoff = Backoff(0.2, 3.0, random.Random(1))
     for expected in (0.2, 0.4, 0.8, 1.6, 3.0, 3.0):
-        assert expected / 2 <= backoff.pause() <= expected
+        assert expected / 2 <= backoff.next_delay() <= expected
     backoff.reset()
-    assert backoff.pause() <= 0.2
+    assert backoff.next_delay() <= 0.2
 
 
 def test_forty_gateways_that_fail_together_retry_ever_less_often_and_not_in_step() -> None:
     calls: list[float] = []
     for seed in range(40):
         backoff, now = Backoff(0.2, 4.0, random.Random(seed)), 0.0
-        while (now := now + backoff.pause()) < 10:
+        while (now := now + backoff.next_delay()) < 10:
             calls.append(now)
     late_calls = [call for call in calls if call >= 5]
     assert 0 < len(late_calls) < 40 * 5  # under one call a second from each
--- a/tests/proxy/test_configuration.py
+++ b/tests/proxy/test_configuration.py
@@ -17,14 +17,14 @@
 )
 from tests.support.gateway_process import GATEWAY_HOST, configuration
 from tests.support.loopback import run
-from tests.support.watch import LONG_LIST, list_entries
+from tests.support.watch import LONG_LIST_SIZE, list_entries
 
 
 def test_configuration_is_read_in_pieces_that_each_have_a_turn_and_without_its_endpoint_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # At SIGHUP requests go on, and there may be no memory for the whole text.
-    known = {"generation": 1, "instances": list_entries(LONG_LIST)}
+    known = {"generation": 1, "instances": list_entries(LONG_LIST_SIZE)}
     text = json.dumps({"known": known, "listen": "here"}) + "\n"
     turns: list[int] = []
 
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -97,7 +97,7 @@
 
 
 def test_connection_that_had_replied_is_replaced_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counter_client, "FIRST_RECONNECT_DELAY", 60.0)
+    monkeypatch.setattr(counter_client, "INITIAL_RECONNECT_DELAY_S", 60.0)
 
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         client.add(8, 1.0, 1_000_000)
@@ -116,8 +116,8 @@
         client.add(8, 1.0, 1_000_000)
         writer, _ = await peer.hear()
         async with Peer() as other:
-            client.move((LOCAL, other.port))
-            client.move((LOCAL, other.port))  # twice is harmless
+            client.set_address((LOCAL, other.port))
+            client.set_address((LOCAL, other.port))  # twice is harmless
             client.add(7, 1.0, 1_000_000)  # no gap: the new one is not up yet
             assert (await peer.hear())[1] == b"bump 7 1.000000 1000\r\n"
             while len(other.writers) < 2:
@@ -143,7 +143,7 @@
         assert (await replies.get()).result is Result.TIMEOUT
         async with Peer() as other:
             before = list(client._connections)
-            client.move((LOCAL, other.port))
+            client.set_address((LOCAL, other.port))
             while any(connection is None or connection in before for connection in client._connections):
                 await asyncio.sleep(0.001)
             writer.write(b"ok 9\r\n")
--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -46,8 +46,8 @@
 
 
 def test_idle_connection_is_kept_up_by_pings(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counter_connection, "PING_AFTER", 0.0)
-    monkeypatch.setattr(counter_client, "MONITOR_INTERVAL", 0.01)
+    monkeypatch.setattr(counter_connection, "IDLE_PING_AFTER_S", 0.0)
+    monkeypatch.setattr(counter_client, "MONITOR_INTERVAL_S", 0.01)
 
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         writer, data = await peer.hear()
@@ -61,8 +61,8 @@
 
 
 def test_connection_without_replies_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counter_connection, "DEAD_AFTER", 0.0)
-    monkeypatch.setattr(counter_client, "MONITOR_INTERVAL", 0.01)
+    monkeypatch.setattr(counter_connection, "UNRESPONSIVE_AFTER_S", 0.0)
+    monkeypatch.setattr(counter_client, "MONITOR_INTERVAL_S", 0.01)
 
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         client.add(8, 1.0, 1_000_000)
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -12,18 +12,26 @@
 from rushroad.proxy.discovery import Discovery
 from rushroad.proxy.endpoint_decoder import ListedEndpoint
 from tests.support.loopback import LOCAL, NAMES, DelayedConnectLoop, Peer, run
-from tests.support.watch import HEAD, LONG_LIST_VERSION, Watch, chunk, list_line, long_list, play_watch
+from tests.support.watch import (
+    LONG_LIST_VERSION,
+    RESPONSE_HEAD,
+    Watch,
+    chunk,
+    list_line,
+    long_list,
+    play_watch,
+)
 
 pytestmark = pytest.mark.usefixtures("fresh_log")
 
 
 def test_ended_watch_resumes_from_its_version_and_a_reset_sends_a_snapshot() -> None:
     async def scenario(watch: Watch) -> None:
-        await watch.peer.answer(HEAD + chunk(list_line(77)))
+        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
         watch.peer.writers[0].transport.abort()
         assert (await watch.peer.hear())[1] == b""
-        assert b"from=77 " in await watch.peer.answer(HEAD + chunk(list_line(90, reset=True)))
+        assert b"from=77 " in await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(90, reset=True)))
         assert (await watch.next_update()).kind is UpdateKind.SNAPSHOT
 
     play_watch(scenario)
@@ -34,11 +42,11 @@
     [
         (b"what is this\r\n\r\n", 1),
         (b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n", 1),
-        (HEAD + b"zz\r\n", 1),
-        (HEAD + chunk(b"{nope\n"), 0),  # its end may still come
-        (HEAD + chunk(b"[]\n"), 1),
-        (HEAD + chunk(b"{}\n"), 1),
-        (HEAD + b"0\r\n\r\n", 0),  # a proper end
+        (RESPONSE_HEAD + b"zz\r\n", 1),
+        (RESPONSE_HEAD + chunk(b"{nope\n"), 0),  # its end may still come
+        (RESPONSE_HEAD + chunk(b"[]\n"), 1),
+        (RESPONSE_HEAD + chunk(b"{}\n"), 1),
+        (RESPONSE_HEAD + b"0\r\n\r\n", 0),  # a proper end
     ],
 )
 def test_response_without_an_endpoint_list_is_followed_by_another_watch(
@@ -57,7 +65,7 @@
 def test_update_that_its_handler_fails_on_is_followed_by_another_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT", 60.0)
+    monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT_S", 60.0)
 
     async def scenario(watch: Watch) -> None:
         def fail_on_a_later_part(update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
@@ -68,10 +76,10 @@
             raise KeyError(update.version)
 
         watch.discovery._on_update = fail_on_a_later_part
-        await watch.peer.answer(HEAD + chunk(long_list()))
+        await watch.peer.answer(RESPONSE_HEAD + chunk(long_list()))
         await watch.next_request()
-        watch.peer.writers[-1].write(HEAD + chunk(list_line(43)))
-        await watch.until_version(43)
+        watch.peer.writers[-1].write(RESPONSE_HEAD + chunk(list_line(43)))
+        await watch.wait_for_version(43)
 
     play_watch(scenario)
 
@@ -90,7 +98,7 @@
             await watch.peer.answer(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
             assert (await watch.peer.hear())[1] == b""
         writer, _ = await watch.peer.hear()
-        writer.write(HEAD + chunk(list_line(42)))
+        writer.write(RESPONSE_HEAD + chunk(list_line(42)))
         await watch.next_update()
         writer.transport.abort()
         assert (await watch.peer.hear())[1] == b""
@@ -98,7 +106,7 @@
 
     monkeypatch.setattr("rushroad.proxy.discovery.asyncio.sleep", record_pause)
     play_watch(scenario)
-    first, longest = discovery_module.FIRST_RECONNECT_PAUSE, discovery_module.MAX_RECONNECT_PAUSE
+    first, longest = discovery_module.INITIAL_RECONNECT_DELAY_S, discovery_module.MAX_RECONNECT_DELAY_S
     expected = [min(longest, first * 2**n) for n in range(8)] + [first]
     assert all(limit / 2 <= pause <= limit for pause, limit in zip(pauses, expected, strict=True))
 
@@ -106,22 +114,22 @@
 def test_silent_watch_is_read_until_another_receives_data(monkeypatch: pytest.MonkeyPatch) -> None:
     # What a silent watch misses counts as notified soon after; what it sends after all is no less true.
     async def scenario(watch: Watch) -> None:
-        await watch.peer.answer(HEAD + chunk(list_line(42)))
+        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(42)))
         await watch.next_update()
         writer, heard = await watch.peer.hear()  # nothing was closed before that
         assert b"from=42 " in heard
-        monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT", 9.0)
+        monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT_S", 9.0)
         watch.peer.writers[0].write(chunk(list_line(43)))
         assert (await watch.next_update()).version == 43
-        writer.write(HEAD + chunk(b"\n"))
+        writer.write(RESPONSE_HEAD + chunk(b"\n"))
         while (await watch.peer.hear())[1] != b"":
             pass
         writer.write(chunk(list_line(44)))
         assert (await watch.next_update()).version == 44
 
     # Over two heartbeats, with time to open another watch before an update counts as notified.
-    assert 2 * 2.0 < discovery_module.SILENCE_TIMEOUT < 6.0 - 1.0
-    monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT", 0.05)
+    assert 2 * 2.0 < discovery_module.SILENCE_TIMEOUT_S < 6.0 - 1.0
+    monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT_S", 0.05)
     play_watch(scenario)
 
 
@@ -132,21 +140,21 @@
         second, heard = await watch.peer.hear()
         assert heard.startswith(b"GET ")
         assert second is not first
-        first.write(HEAD + chunk(list_line(42)))
+        first.write(RESPONSE_HEAD + chunk(list_line(42)))
         assert (await watch.next_update()).version == 42
         while (ended := await watch.peer.hear())[1] != b"":
             pass
         assert ended[0] is not first
 
     # The shortest drain grace that the settings have had.
-    assert discovery_module.RESPONSE_TIMEOUT + discovery_module.MAX_RECONNECT_PAUSE <= 0.5
+    assert discovery_module.RESPONSE_TIMEOUT_S + discovery_module.MAX_RECONNECT_DELAY_S <= 0.5
     play_watch(scenario)
 
 
 def test_pending_watches_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_module, "RESPONSE_TIMEOUT", 0.001)
-    monkeypatch.setattr(discovery_module, "MAX_RECONNECT_PAUSE", 0.001)
-    monkeypatch.setattr(discovery_module, "FIRST_RECONNECT_PAUSE", 0.001)
+    monkeypatch.setattr(discovery_module, "RESPONSE_TIMEOUT_S", 0.001)
+    monkeypatch.setattr(discovery_module, "MAX_RECONNECT_DELAY_S", 0.001)
+    monkeypatch.setattr(discovery_module, "INITIAL_RECONNECT_DELAY_S", 0.001)
     limit = discovery_module.MAX_PENDING_WATCHES
 
     async def scenario(watch: Watch) -> None:
@@ -161,7 +169,7 @@
 
 def test_watch_with_a_response_head_but_no_body_is_not_established() -> None:
     async def scenario(watch: Watch) -> None:
-        await watch.peer.answer(HEAD)
+        await watch.peer.answer(RESPONSE_HEAD)
         assert b"from=41 " in await watch.next_request()
         assert watch.discovery._watch is None
 
@@ -174,7 +182,7 @@
     async def scenario(watch: Watch) -> None:
         text = long_list()
         cut = text[: text.index(b'{"instanceId": "s-9000"')].rstrip(b", ")
-        await watch.peer.answer(HEAD + chunk(cut) + end)
+        await watch.peer.answer(RESPONSE_HEAD + chunk(cut) + end)
         if not end:
             watch.peer.writers[0].close()
         assert b"from=41 " in await watch.next_request()
@@ -187,12 +195,12 @@
 
 def test_older_version_never_undoes_a_newer_one(capfd: pytest.CaptureFixture[str]) -> None:
     async def scenario(watch: Watch) -> None:
-        await watch.peer.answer(HEAD + chunk(list_line(45, lifecycle="DRAINING")))
+        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(45, lifecycle="DRAINING")))
         assert (await watch.next_update()).endpoints[0].state is EndpointState.DRAINING
         async with Peer() as other:  # moved to an agent that lags behind
-            watch.discovery.move((LOCAL, other.port))
+            watch.discovery.set_address((LOCAL, other.port))
             older = chunk(list_line(44, reset=True)) + chunk(list_line(44))
-            await other.answer(HEAD + older + chunk(list_line(46)))
+            await other.answer(RESPONSE_HEAD + older + chunk(list_line(46)))
             assert (await watch.next_update()).version == 46
             assert watch.discovery.version == 46
             watch.discovery.close()
@@ -205,8 +213,10 @@
 def test_older_long_list_is_ignored() -> None:
     async def scenario(watch: Watch) -> None:
         assert LONG_LIST_VERSION < 60
-        await watch.peer.answer(HEAD + chunk(list_line(60)) + chunk(long_list()) + chunk(list_line(61)))
-        await watch.until_version(61)
+        await watch.peer.answer(
+            RESPONSE_HEAD + chunk(list_line(60)) + chunk(long_list()) + chunk(list_line(61))
+        )
+        await watch.wait_for_version(61)
         assert [update.version for update in watch.updates] == [60, 61]
 
     play_watch(scenario)
@@ -219,13 +229,13 @@
         return chunk(text.removesuffix("]}").encode() + end.encode())
 
     async def scenario(watch: Watch) -> None:
-        await watch.peer.answer(HEAD + cut_list(50, "DRAINING", "\n\n"))
+        await watch.peer.answer(RESPONSE_HEAD + cut_list(50, "DRAINING", "\n\n"))
         assert b"from=41 " in await watch.next_request()
         older = cut_list(49, "SERVING", "]}\n") + chunk(list_line(49, instanceId="y"))
-        watch.peer.writers[-1].write(HEAD + older)
-        await watch.until_version(49)
+        watch.peer.writers[-1].write(RESPONSE_HEAD + older)
+        await watch.wait_for_version(49)
         watch.peer.writers[-1].write(chunk(list_line(50)))
-        await watch.until_version(50)
+        await watch.wait_for_version(50)
         assert [[(e.name, e.state) for e in update.endpoints] for update in watch.updates] == [
             [("s-1", EndpointState.DRAINING), ("x", EndpointState.DRAINING)],
             [],
@@ -245,7 +255,7 @@
             updates: list[Any] = []
             discovery = Discovery(address, 41, NAMES, lambda *update: updates.append(update), loop, generator)
             await late.asked.wait()
-            discovery.move((LOCAL, other.port))
+            discovery.set_address((LOCAL, other.port))
             await late.done.wait()
             assert (await peer.hear())[1] == b""  # closed without a request
             late.go_on.set()
@@ -257,12 +267,12 @@
 
 def test_move_watches_at_the_new_address_from_the_current_version() -> None:
     async def scenario(watch: Watch) -> None:
-        await watch.peer.answer(HEAD + chunk(list_line(77)))
+        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
         async with Peer() as other:
-            watch.discovery.move((LOCAL, other.port))
-            watch.discovery.move((LOCAL, other.port))
-            assert b"from=77 " in await other.answer(HEAD + chunk(list_line(78)))
+            watch.discovery.set_address((LOCAL, other.port))
+            watch.discovery.set_address((LOCAL, other.port))
+            assert b"from=77 " in await other.answer(RESPONSE_HEAD + chunk(list_line(78)))
             assert (await watch.next_update()).version == 78
             assert (await watch.peer.hear())[1] == b""
             assert len(other.writers) == 1
@@ -272,15 +282,15 @@
 
 
 def test_old_watch_is_read_until_the_new_address_answers(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_module, "FIRST_RECONNECT_PAUSE", 0.01)
+    monkeypatch.setattr(discovery_module, "INITIAL_RECONNECT_DELAY_S", 0.01)
 
     async def scenario(watch: Watch) -> None:
-        await watch.peer.answer(HEAD + chunk(list_line(77)))
+        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
-        watch.discovery.move((LOCAL, 1))  # connection refused
+        watch.discovery.set_address((LOCAL, 1))  # connection refused
         watch.peer.writers[0].write(chunk(list_line(78)))
         assert (await watch.next_update()).version == 78
-        watch.discovery.move((LOCAL, watch.peer.port))
-        assert b"from=78 " in await watch.peer.answer(HEAD)
+        watch.discovery.set_address((LOCAL, watch.peer.port))
+        assert b"from=78 " in await watch.peer.answer(RESPONSE_HEAD)
 
     play_watch(scenario)
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -11,9 +11,9 @@
 from rushroad.proxy.json_splitter import RUN_BYTES, JsonRun, JsonSplitter
 from tests.support.loopback import LOCAL
 from tests.support.watch import (
-    HEAD,
-    LONG_LIST,
+    LONG_LIST_SIZE,
     LONG_LIST_VERSION,
+    RESPONSE_HEAD,
     Watch,
     chunk,
     list_line,
@@ -29,7 +29,7 @@
 
 def test_lists_are_decoded_however_their_lines_are_cut_into_chunks() -> None:
     async def scenario(watch: Watch) -> None:
-        data = await watch.peer.answer(HEAD)
+        data = await watch.peer.answer(RESPONSE_HEAD)
         assert data.startswith(b"GET /v1/servers?watch=1&from=41 HTTP/1.1\r\nHost: ")
         text = b"\n" + list_line(42) + b"\n" + list_line(43, lifecycle="DRAINING")
         for part in (text[:50], text[50:]):
@@ -50,16 +50,16 @@
 def test_long_list_comes_in_parts_that_each_have_a_turn_of_the_loop(reset: bool, indent: int | None) -> None:
     async def scenario(watch: Watch) -> None:
         watch.count_turns()
-        await watch.peer.answer(HEAD + chunk(long_list(reset=reset, indent=indent)))
-        await watch.until_version(LONG_LIST_VERSION)
+        await watch.peer.answer(RESPONSE_HEAD + chunk(long_list(reset=reset, indent=indent)))
+        await watch.wait_for_version(LONG_LIST_VERSION)
         updates = watch.updates
-        assert watch.endpoint_names() == [f"s-{n}" for n in range(LONG_LIST)]
+        assert watch.endpoint_names() == [f"s-{n}" for n in range(LONG_LIST_SIZE)]
         assert max(len(update.endpoints) for update in updates) <= MAX_ENDPOINTS_PER_PART
-        assert len(set(watch.turns)) == len(watch.turns) >= LONG_LIST / MAX_ENDPOINTS_PER_PART
+        assert len(set(watch.turns)) == len(watch.turns) >= LONG_LIST_SIZE / MAX_ENDPOINTS_PER_PART
         assert updates[-1].last
         listed = [endpoint for update in updates for endpoint in update.endpoints]
         draining = [endpoint.name for endpoint in listed if endpoint.state is EndpointState.DRAINING]
-        assert draining == [f"s-{LONG_LIST - 1}"]
+        assert draining == [f"s-{LONG_LIST_SIZE - 1}"]
         if reset:
             assert {update.kind for update in updates} == {UpdateKind.SNAPSHOT}
             assert [update.first for update in updates] == [True] + [False] * (len(updates) - 1)
@@ -73,8 +73,8 @@
 def test_many_short_lists_that_come_together_have_a_turn_of_the_loop_each() -> None:
     async def scenario(watch: Watch) -> None:
         watch.count_turns()
-        await watch.peer.answer(HEAD + chunk(b"".join(list_line(42 + n) for n in range(100))))
-        await watch.until_version(141)
+        await watch.peer.answer(RESPONSE_HEAD + chunk(b"".join(list_line(42 + n) for n in range(100))))
+        await watch.wait_for_version(141)
         assert len(set(watch.turns)) == len(watch.turns) == 100
 
     play_watch(scenario)
@@ -93,15 +93,15 @@
             return run
 
         monkeypatch.setattr(JsonSplitter, "next_run", record_turn)
-        await watch.peer.answer(HEAD + chunk(text[:-20]))
+        await watch.peer.answer(RESPONSE_HEAD + chunk(text[:-20]))
         while len(run_turns) < len(text) // RUN_BYTES:
             await asyncio.sleep(0)
         assert len(set(run_turns)) == len(run_turns)  # each has a turn of its own
         assert watch.discovery._watch is not None  # established, though it has passed nothing on
         assert not watch.updates
         watch.peer.writers[0].write(chunk(text[-20:]))
-        await watch.until_version(LONG_LIST_VERSION)
-        assert watch.endpoint_names() == [f"s-{n}" for n in range(LONG_LIST)]
+        await watch.wait_for_version(LONG_LIST_VERSION)
+        assert watch.endpoint_names() == [f"s-{n}" for n in range(LONG_LIST_SIZE)]
         first, last = watch.updates[0], watch.updates[-1]
         assert [(first.first, first.last), (last.first, last.last)] == [(True, False), (False, True)]
 
@@ -116,10 +116,10 @@
     text: bytes, min_passed_on: int, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(watch: Watch) -> None:
-        await watch.peer.answer(HEAD + chunk(text))
+        await watch.peer.answer(RESPONSE_HEAD + chunk(text))
         assert b"from=41 " in await watch.next_request()
         assert (len(watch.endpoint_names()) > min_passed_on) is (min_passed_on > 0)
-        assert len(watch.endpoint_names()) < LONG_LIST / 2
+        assert len(watch.endpoint_names()) < LONG_LIST_SIZE / 2
         assert not any(update.last for update in watch.updates)
 
     play_watch(scenario, memory_limit=6 << 20)
@@ -131,7 +131,7 @@
 @pytest.mark.parametrize("text", [INDENTED, b"\r\n" + INDENTED.replace(b"\n", b"\r\n"), INDENTED.strip()])
 def test_list_may_be_indented_and_come_in_pieces(text: bytes, step: int) -> None:
     async def scenario(watch: Watch) -> None:
-        await watch.peer.answer(HEAD)
+        await watch.peer.answer(RESPONSE_HEAD)
         for start in range(0, len(text), step):
             watch.peer.writers[0].write(chunk(text[start : start + step]))
             await asyncio.sleep(0)
@@ -148,7 +148,7 @@
 )
 def test_lists_that_come_together_are_all_decoded(text: bytes) -> None:
     async def scenario(watch: Watch) -> None:
-        await watch.peer.answer(HEAD + chunk(text))
+        await watch.peer.answer(RESPONSE_HEAD + chunk(text))
         assert [(await watch.next_update()).version for _ in range(2)] == [42, 43]
 
     play_watch(scenario)
@@ -158,7 +158,9 @@
 def test_list_that_breaks_off_within_an_entry_ends_the_watch(rest: bytes) -> None:
     # What follows would be taken for the rest of it, for as long as heartbeats keep the watch open.
     async def scenario(watch: Watch) -> None:
-        await watch.peer.answer(HEAD + chunk(list_line(42)) + chunk(CUT_OFF.rstrip(b" ")) + chunk(rest))
+        await watch.peer.answer(
+            RESPONSE_HEAD + chunk(list_line(42)) + chunk(CUT_OFF.rstrip(b" ")) + chunk(rest)
+        )
         assert (await watch.next_update()).version == 42
         assert b"from=42 " in await watch.next_request()
         assert watch.queue.empty()
@@ -186,7 +188,7 @@
     # Taken for what it seems, it would remove all endpoints, or make all later updates look old.
     async def scenario(watch: Watch) -> None:
         text = json.dumps(json.loads(list_line(42)) | fields).encode() + b"\n"
-        await watch.peer.answer(HEAD + chunk(text))
+        await watch.peer.answer(RESPONSE_HEAD + chunk(text))
         assert b"from=41 " in await watch.next_request()
         assert not watch.updates
 
@@ -201,7 +203,7 @@
     lifecycle: str, fields: dict[str, Any]
 ) -> None:
     async def scenario(watch: Watch) -> None:
-        await watch.peer.answer(HEAD + chunk(list_line(44, lifecycle=lifecycle, **fields)))
+        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(44, lifecycle=lifecycle, **fields)))
         (endpoint,) = (await watch.next_update()).endpoints
         assert (endpoint.name, endpoint.state) == ("s-1", ENDPOINT_STATES[lifecycle])
 
@@ -210,7 +212,7 @@
 
 def test_removed_endpoint_needs_no_address() -> None:
     async def scenario(watch: Watch) -> None:
-        await watch.peer.answer(HEAD + chunk(list_line(44, lifecycle="DELETED", hostPort="")))
+        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(44, lifecycle="DELETED", hostPort="")))
         assert (await watch.next_update()).endpoints[0].state is EndpointState.REMOVED
 
     play_watch(scenario)
@@ -237,7 +239,9 @@
     async def scenario(watch: Watch) -> None:
         text = json.loads(list_line(44))
         text["instances"] += [text["instances"][0] | {"instanceId": "s-2"} | fields, 3]
-        await watch.peer.answer(HEAD + chunk(json.dumps(text).encode() + b"\n") + chunk(list_line(45)))
+        await watch.peer.answer(
+            RESPONSE_HEAD + chunk(json.dumps(text).encode() + b"\n") + chunk(list_line(45))
+        )
         for _ in range(2):
             assert [endpoint.name for endpoint in (await watch.next_update()).endpoints] == ["s-1"]
         assert watch.discovery.version == 45
--- a/tests/proxy/test_endpoint_lists.py
+++ b/tests/proxy/test_endpoint_lists.py
@@ -15,7 +15,7 @@
 from rushroad.proxy.upstream_connection import UpstreamConnection
 from tests.support.attempts import FAST, OK, request_in_flight
 from tests.support.loopback import LOCAL, Peer, RecordingEngine, run
-from tests.support.watch import HEAD, LONG_LIST, Watch, chunk, play_watch
+from tests.support.watch import LONG_LIST_SIZE, RESPONSE_HEAD, Watch, chunk, play_watch
 
 pytestmark = pytest.mark.usefixtures("no_settle_time")
 
@@ -67,7 +67,7 @@
 
 def test_only_endpoints_with_attempts_have_pools_and_only_while_these_are_needed() -> None:
     async def scenario(sender: Sender) -> None:
-        sender.update(range(LONG_LIST), True)
+        sender.update(range(LONG_LIST_SIZE), True)
         assert not sender.upstream._pools
         await sender.send_and_answer(7)
         assert list(sender.upstream._pools) == ["s-7"]
@@ -82,17 +82,17 @@
 
 def test_full_list_in_parts_removes_what_none_of_them_names_and_only_at_its_end() -> None:
     async def scenario(sender: Sender) -> None:
-        sender.update(range(LONG_LIST), True)
+        sender.update(range(LONG_LIST_SIZE), True)
         await sender.send_and_answer(7)
         sender.update(range(7), True, last=False)  # breaks off
         sender.update(range(8, 100), True, last=False)  # begins anew
-        sender.update(range(100, LONG_LIST), True, first=False, last=False)
+        sender.update(range(100, LONG_LIST_SIZE), True, first=False, last=False)
         await sender.send_and_answer(7)
         sender.update(range(0), True, first=False)
         assert (await sender.peer.hear())[1] == b""  # its idle connection
         sender.send(7)
         assert await sender.result() is Result.CONNECT_FAILED
-        await sender.send_and_answer(LONG_LIST - 1)
+        await sender.send_and_answer(LONG_LIST_SIZE - 1)
 
     play_sender(scenario)
 
@@ -130,7 +130,7 @@
         watch.count_turns()
         async with Peer() as peer:
             sender, generator = Sender(peer, 1_000), random.Random(2)
-            sender.update(range(LONG_LIST), True)
+            sender.update(range(LONG_LIST_SIZE), True)
 
             def remove(update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
                 removed.update(endpoint.name for endpoint in update.endpoints)
@@ -140,11 +140,11 @@
             watch.discovery._on_update = remove
             entries = [{"instanceId": f"s-{n}", "lifecycle": "DELETED"} for n in range(removed_count)]
             text = json.dumps({"generation": 50, "reset": False, "instances": entries}).encode()
-            await watch.peer.answer(HEAD + chunk(text))
+            await watch.peer.answer(RESPONSE_HEAD + chunk(text))
             while watch.discovery.version != 50 or sender.count < 100:
                 sender.send(generator.randrange(removed_count))  # some are connecting when they are removed
                 await asyncio.sleep(0)
-            await watch.until_version(50)
+            await watch.wait_for_version(50)
             for number in range(0, removed_count, 100):
                 sender.send(number)
             results = [await sender.result() for _ in range(sender.count - sender.upstream.limit.open_count)]
--- a/tests/proxy/test_endpoint_pool.py
+++ b/tests/proxy/test_endpoint_pool.py
@@ -44,7 +44,7 @@
         second.write(OK.replace(b"value", b"other"))
         assert (await harness.engine.ended.get())[2] == b"other"
 
-    monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME", 60.0)
+    monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME_S", 60.0)
     play_attempts(scenario)
 
 
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -38,7 +38,7 @@
 from rushroad.proxy.engine import NETWORK_ALLOWANCE, Engine
 from rushroad.proxy.in_flight import Call
 from rushroad.proxy.upstream import Upstream
-from tests.support.attempts import LONG, OK, endpoint_at
+from tests.support.attempts import LONG_TIMEOUT_US, OK, endpoint_at
 from tests.support.gateway_driver import SETTINGS
 from tests.support.loopback import LOCAL, SCHEMA, DelayedConnectLoop, Peer, call, resp, run
 from tests.support.scripted_policy import Script, ScriptedPolicy, install_policy
@@ -109,7 +109,7 @@
 
 def start_attempt(event: Event) -> Iterator[Action]:
     if isinstance(event, Request):
-        yield StartAttempt(event.id, "s-1", LONG)
+        yield StartAttempt(event.id, "s-1", LONG_TIMEOUT_US)
 
 
 @pytest.mark.usefixtures("no_waiting_time")
@@ -323,7 +323,7 @@
         match event:
             case Request(id=request):
                 yield CounterAdd(9, 2.0, 1_000_000)
-                yield StartAttempt(request, "s-1", LONG)
+                yield StartAttempt(request, "s-1", LONG_TIMEOUT_US)
             case CounterReply():
                 yield SetTimer(20_000, 3)
             case TimerFired(token=3):
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -15,7 +15,7 @@
 from tests.support.loopback import LOCAL, Peer, RecordingEngine, resp, run
 
 OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$18\r\ninflight=7,queue=2\r\n"
-LONG = 10_000_000  # microseconds
+LONG_TIMEOUT_US = 10_000_000  # microseconds
 FAST = replace(SETTINGS, limits=Limits(max_attempts=4, connect_timeout=250_000))
 
 
@@ -53,7 +53,7 @@
         self.upstream = Upstream(cast(Engine, self.engine), settings, 60_000_000, max_connections, loop)
         self.upstream.update_endpoints(endpoint_at(port), True)
 
-    def send(self, timeout: int = LONG, size: int = 10, class_index: int = IDEMPOTENT) -> Attempt:
+    def send(self, timeout: int = LONG_TIMEOUT_US, size: int = 10, class_index: int = IDEMPOTENT) -> Attempt:
         """Start an attempt of a new request; they count from 1."""
         self.attempts += 1
         request = request_in_flight(size, class_index)
--- a/tests/support/watch.py
+++ b/tests/support/watch.py
@@ -11,9 +11,9 @@
 from rushroad.proxy.endpoint_decoder import DEFAULT_MEMORY_LIMIT, ListedEndpoint
 from tests.support.loopback import LOCAL, NAMES, Peer, run
 
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 CACHED_VERSION = 41  # of the endpoint list that a watch starts from
-LONG_LIST = 20_000  # endpoints
+LONG_LIST_SIZE = 20_000  # endpoints
 LONG_LIST_VERSION = 50
 
 
@@ -48,14 +48,14 @@
 
 
 def long_list(reset: bool = True, indent: int | None = None) -> bytes:
-    """A list of LONG_LIST endpoints."""
-    text = {"generation": LONG_LIST_VERSION, "reset": reset, "instances": list_entries(LONG_LIST)}
+    """A list of LONG_LIST_SIZE endpoints."""
+    text = {"generation": LONG_LIST_VERSION, "reset": reset, "instances": list_entries(LONG_LIST_SIZE)}
     return json.dumps(text, indent=indent).encode() + b"\n"
 
 
 def long_list_with_its_version_last() -> bytes:
     """The same list with its keys in another order than the protocol page's."""
-    text = {"instances": list_entries(LONG_LIST), "reset": True, "generation": LONG_LIST_VERSION}
+    text = {"instances": list_entries(LONG_LIST_SIZE), "reset": True, "generation": LONG_LIST_VERSION}
     return json.dumps(text).encode()
 
 
@@ -90,7 +90,7 @@
         """The next update that has not been returned yet."""
         return (await self.queue.get())[0]
 
-    async def until_version(self, version: int) -> None:
+    async def wait_for_version(self, version: int) -> None:
         """Wait until a list of this version is complete."""
         while self.discovery.version != version:
             await self.queue.get()
