--- a/rushroad/proxy/upstream_connection.py
+++ b/rushroad/proxy/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint. It carries one attempt at a time."""
+"""A connection to an endpoint. It carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -9,81 +9,81 @@
 from rushroad.policy.events import Result
 from rushroad.proxy import resp
 from rushroad.proxy.transient_errors import poll_now
-from rushroad.proxy.upstream_response import RESPONSE_ITEMS
+from rushroad.proxy.upstream_response import RESPONSE_ITEM_COUNT
 
 if TYPE_CHECKING:
     from rushroad.proxy.endpoint_pool import EndpointPool
     from rushroad.proxy.in_flight import Attempt
 
-MALFORMED = b"malformed"  # stands for bytes that are no RESP message: no response of the protocol, too
+MALFORMED_RESPONSE = b"malformed"  # decoded in place of bytes that are not a RESP message; not a known error
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """A connection to an endpoint, from its connect to its end.
+    """A connection to an endpoint, from connecting until it is closed.
 
-    With one attempt at a time, an attempt that is abandoned takes no other with it.
+    It carries one attempt at a time, so closing it to abandon an attempt affects no other attempt.
     """
 
     def __init__(self, pool: EndpointPool) -> None:
         self.pool = pool
-        self.address = pool.address  # where it connects to; the endpoint may have moved or restarted since
+        self.address = pool.address  # at connect time; the endpoint may have moved or restarted since
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
         self.idle_since = 0.0  # seconds of the loop's clock
-        self.idle_time: float | None = None  # seconds before the current attempt, until a byte comes
-        self.unwritten = False  # part of the request has not left this process
-        self.failed_locally = False  # it came up, but this system could not use it
+        self.idle_time: float | None = None  # seconds, before the current attempt; None once data arrives
+        self.has_unwritten_data = False  # part of the command is still in the transport's write buffer
+        self.failed_locally = False  # connected, but unusable because of an error of this host
         self._closed = False
-        self._reader = resp.Reader(RESPONSE_ITEMS, responses=True)
+        self._reader = resp.Reader(RESPONSE_ITEM_COUNT, responses=True)
         self._poll = select.poll()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport. With a limit of 0, it calls pause_writing for any byte that is not written."""
+        """Store the transport; with a buffer limit of 0 it calls pause_writing whenever data is unwritten."""
         transport = cast(asyncio.Transport, transport)
         transport.set_write_buffer_limits(high=0)
         self.transport = transport
         try:
             self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
-        except OSError:  # the loop asks for the socket's address, which the system fails to tell for a moment
+        except OSError:  # the event loop's query for the socket's address can fail temporarily
             self.failed_locally = True
             self.close()
-        if self._closed:  # abandoned while it connected
+        if self._closed:  # closed while connecting
             self.close()
 
     def is_open(self) -> bool:
-        """Return whether it can be written to.
+        """Return whether the connection can be written to.
 
-        A transport that is closing, as the other end has closed it, would drop what is written, although
-        connection_lost has not been called yet.
+        After the peer has closed the connection, the transport drops all writes even before it calls
+        connection_lost.
         """
         return self.transport is not None and not self.transport.is_closing()
 
     def is_clean(self) -> bool:
-        """Return whether it is open with nothing unread on it, also no close.
+        """Return whether the connection is open, with no unread data and no unread end of stream.
 
-        Unread bytes belong to the last response: the next attempt would be served them.
+        Unread bytes belong to the previous response and would be served to the next attempt.
         """
         transport = self.transport
         return transport is not None and not transport.is_closing() and poll_now(self._poll) == []
 
     def send(self, attempt: Attempt, command: bytes) -> None:
-        """Send an attempt's command."""
+        """Write an attempt's command."""
         assert self.transport is not None
         self.attempt = attempt
         self.transport.write(command)
 
     def pause_writing(self) -> None:
-        """Note that bytes wait in this process."""
-        self.unwritten = True
+        """Record that the transport's write buffer is not empty."""
+        self.has_unwritten_data = True
 
     def resume_writing(self) -> None:
-        """Note that all bytes have left this process."""
-        self.unwritten = False
+        """Record that the transport's write buffer is empty."""
+        self.has_unwritten_data = False
 
     def data_received(self, data: bytes) -> None:
-        """Take a response or a part of one; anything else closes the connection."""
+        """Process a response or a part of one; any other data closes the connection."""
         attempt, pool = self.attempt, self.pool
-        pool.abandoned_in_row = 0
+        pool.consecutive_abandoned = 0
         if self.idle_time is not None:
             pool.upstream.idle_resets.record(self.idle_time, False)
             self.idle_time = None
@@ -92,16 +92,16 @@
             self._reader.feed(data)
             message = self._reader.next()
         except resp.ProtocolError:
-            message = MALFORMED
+            message = MALFORMED_RESPONSE
         if message is None and attempt is not None:
             return
-        # It is reused only after a response that the protocol knows, with nothing behind it.
-        reusable = attempt is not None and self._reader.at_message_boundary() and not self.unwritten
+        # The connection is reused only after a valid response that no other data follows.
+        reusable = attempt is not None and self._reader.at_message_boundary() and not self.has_unwritten_data
         self.attempt = None
         if attempt is not None and message is not None:
             response = pool.upstream.decoder.decode(message)
-            reusable &= response.known
-            pool.upstream.end(
+            reusable &= response.is_valid
+            pool.upstream.finish(
                 attempt, response.result, response.value, response.load_report, response.actual_units
             )
         if reusable and self.transport is not None:
@@ -110,7 +110,7 @@
             self.close()
 
     def close(self) -> None:
-        """Close at once; what was not written yet is dropped."""
+        """Close at once, dropping unwritten data."""
         self._closed = True
         if self.transport is not None:
             self.transport.abort()
@@ -118,7 +118,7 @@
         self.pool.remove(self)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """End the attempt. Nothing was executed only if the last byte of its command was still here."""
+        """End the attempt; it was certainly not executed only if part of its command was still unwritten."""
         self.transport = None
         self.pool.remove(self)
         attempt, self.attempt = self.attempt, None
@@ -127,4 +127,4 @@
         if self.idle_time is not None:
             self.pool.upstream.idle_resets.record(self.idle_time, True)
             self.idle_time = None
-        self.pool.upstream.end(attempt, Result.CONNECT_FAILED if self.unwritten else Result.RESET)
+        self.pool.upstream.finish(attempt, Result.CONNECT_FAILED if self.has_unwritten_data else Result.RESET)
--- a/tests/proxy/test_endpoint_lists.py
+++ b/tests/proxy/test_endpoint_lists.py
@@ -107,8 +107,8 @@
         assert await sender.send_and_answer(2) is third
         assert await sender.send_and_answer(1) is not second
         sender.update(range(4), False, state=EndpointState.REMOVED)
-        assert sender.upstream.limit.open_count == 0
-        assert not sender.upstream.limit.idle
+        assert sender.upstream.connection_limit.open_count == 0
+        assert not sender.upstream.connection_limit.idle
 
     play_sender(scenario, max_connections=2)
 
@@ -147,7 +147,10 @@
             await watch.wait_for_version(50)
             for number in range(0, removed_count, 100):
                 sender.send(number)
-            results = [await sender.result() for _ in range(sender.count - sender.upstream.limit.open_count)]
+            results = [
+                await sender.result()
+                for _ in range(sender.count - sender.upstream.connection_limit.open_count)
+            ]
             assert results.count(Result.CONNECT_FAILED) >= removed_count // 100
             assert max(len(update.endpoints) for update in watch.updates) <= MAX_ENDPOINTS_PER_PART
             assert len(set(watch.turns)) == len(watch.updates)
