--- a/rushroad/proxy/backoff.py
+++ b/rushroad/proxy/backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff with jitter between attempts to reach a service that all gateways of a fleet use."""
+"""Exponential backoff with jitter, for retries against a service shared by all gateways of a fleet."""
 
 from __future__ import annotations
 
@@ -6,21 +6,22 @@
 
 
 class Backoff:
-    """Pauses between attempts: each about twice as long as the one before, until an attempt succeeds.
+    """Delays between attempts, which double up to a maximum until an attempt succeeds.
 
-    Up to half of each pause is taken off at random: gateways that failed together do not retry in step.
+    Jitter takes off up to half of each delay, so that gateways that failed at the same time don't retry at
+    the same time.
     """
 
     def __init__(self, initial_delay: float, max_delay: float, rng: random.Random) -> None:
-        """initial_delay, max_delay: seconds; rng: the source of the jitter."""
+        """Set the delays, in seconds, and the random generator for the jitter."""
         self._initial_delay, self._max_delay, self._rng = initial_delay, max_delay, rng
         self._next_delay = initial_delay
 
     def next_delay(self) -> float:
-        """Seconds to wait before the next attempt; doubles the pause after that."""
+        """Return the seconds to wait before the next attempt, and double the delay after it."""
         delay, self._next_delay = self._next_delay, min(self._max_delay, self._next_delay * 2)
         return delay * self._rng.uniform(0.5, 1.0)
 
     def reset(self) -> None:
-        """Start again from the first pause: an attempt has succeeded."""
+        """Return to the initial delay after a successful attempt."""
         self._next_delay = self._initial_delay
--- a/rushroad/proxy/endpoint_addresses.py
+++ b/rushroad/proxy/endpoint_addresses.py
@@ -1,4 +1,4 @@
-"""The address table: where each endpoint is that may be sent requests, as the endpoint list says."""
+"""The addresses of the ready endpoints, according to the endpoint list."""
 
 from __future__ import annotations
 
@@ -7,44 +7,44 @@
 
 from rushroad.policy.events import Endpoint, EndpointState
 
-# An EndpointAddress as one text. The table holds one for each endpoint there is: 122 bytes an entry with its
-# place in the table, where a tuple would take 240.
+# An EndpointAddress as a string, because one is held for each endpoint: with its dict entry a string takes
+# 122 bytes, a tuple 240.
 PackedAddress: TypeAlias = str
 
 
 class EndpointAddress(NamedTuple):
-    """Where an endpoint is, and when it last started: after a restart its connections are new ones."""
+    """The address of an endpoint and its last start time; a restart invalidates its connections."""
 
     host: str
     port: int
-    started_at: int  # microseconds; 0: long ago
+    started_at: int  # microseconds; 0 means long ago
 
 
 def pack_address(host_port: tuple[str, int], started_at: int) -> PackedAddress:
-    """Pack an address; two packed ones are equal only if all their parts are."""
+    """Pack an address; packed addresses are equal only if all their parts are."""
     return f"{host_port[0]}:{host_port[1]} {started_at}"
 
 
 def unpack_address(packed: PackedAddress) -> EndpointAddress:
-    """Return the parts of a packed address; raises ValueError where the host holds a space."""
+    """Return the parts of a packed address; raises ValueError if the host contains a space."""
     host_port, _, started_at = packed.partition(" ")
     host, _, port = host_port.rpartition(":")
     return EndpointAddress(host, int(port), int(started_at))
 
 
 class EndpointAddresses:
-    """Owns the address of each endpoint in the state READY; other endpoints have none."""
+    """Holds the address of each endpoint in the state READY; other endpoints have none."""
 
     def __init__(self) -> None:
         self._addresses: dict[str, PackedAddress] = {}
-        self._unconfirmed: dict[str, PackedAddress] = {}  # not named so far by the snapshot that is coming in
+        self._unconfirmed: dict[str, PackedAddress] = {}  # not yet named by the snapshot being received
 
     def get(self, name: str) -> PackedAddress | None:
-        """Return the address of an endpoint, or None where it may be sent nothing new."""
+        """Return the address of an endpoint, or None if it is not ready."""
         return self._addresses.get(name)
 
     def update(self, endpoint: Endpoint, host_port: tuple[str, int]) -> PackedAddress:
-        """Take an entry of the endpoint list; returns its address, also where nothing may be sent there."""
+        """Apply an entry of the endpoint list; returns its address, even if the endpoint is not ready."""
         name = endpoint.name
         self._unconfirmed.pop(name, None)
         packed = pack_address(host_port, endpoint.started_at)
@@ -55,11 +55,11 @@
         return packed
 
     def begin_snapshot(self) -> None:
-        """Begin a snapshot of the endpoint list; one that was not finished is forgotten."""
-        self._unconfirmed = self._addresses.copy()  # a copy takes a third of the time of a set of the names
+        """Begin a snapshot of the endpoint list; an unfinished one is discarded."""
+        self._unconfirmed = self._addresses.copy()  # takes a third of the time of building a set of names
 
     def finish_snapshot(self) -> Iterable[str]:
-        """Remove the endpoints that no part of the snapshot named, and return their names."""
+        """Remove the endpoints that no part of the snapshot named and return their names."""
         removed, self._unconfirmed = self._unconfirmed, {}
         for name in removed:
             self._addresses.pop(name, None)
--- a/rushroad/proxy/endpoint_pool.py
+++ b/rushroad/proxy/endpoint_pool.py
@@ -9,8 +9,8 @@
     from rushroad.proxy.upstream import Upstream
     from rushroad.proxy.upstream_connection import UpstreamConnection
 
-# A connection is not reused for this time after a response. A duplicate response, which would be served to the
-# next attempt, arrives within it.
+# A connection is not reused for this time after a response. A duplicate response, which would be served to
+# the next attempt, arrives within it.
 SETTLE_TIME_S = 0.03
 CONSECUTIVE_ABANDONED_THRESHOLD = 2  # abandoned attempts after which idle connections are presumed broken
 
--- a/tests/proxy/test_backoff.py
+++ b/tests/proxy/test_backoff.py
@@ -1,11 +1,11 @@
-"""Backoff: pauses that grow, and differ from one gateway to the next."""
+"""Backoff: delays that double, and jitter that differs between gateways."""
 
 import random
 
 from rushroad.proxy.backoff import Backoff
 
 
-def test_pauses_double_up_to_the_maximum_and_start_again_after_a_success() -> None:
+def test_delays_double_up_to_the_maximum_and_start_again_after_a_success() -> None:
     backoff = Backoff(0.2, 3.0, random.Random(1))
     for expected in (0.2, 0.4, 0.8, 1.6, 3.0, 3.0):
         assert expected / 2 <= backoff.next_delay() <= expected
@@ -13,13 +13,13 @@
     assert backoff.next_delay() <= 0.2
 
 
-def test_forty_gateways_that_fail_together_retry_ever_less_often_and_not_in_step() -> None:
+def test_forty_gateways_that_fail_together_retry_less_and_less_often_and_at_different_times() -> None:
     calls: list[float] = []
     for seed in range(40):
         backoff, now = Backoff(0.2, 4.0, random.Random(seed)), 0.0
         while (now := now + backoff.next_delay()) < 10:
             calls.append(now)
     late_calls = [call for call in calls if call >= 5]
-    assert 0 < len(late_calls) < 40 * 5  # under one call a second from each
-    tenths = [int(call * 10) for call in late_calls]
+    assert 0 < len(late_calls) < 40 * 5  # under one call a second from each gateway
+    tenths = [int(call * 10) for call in late_calls]  # of a second
     assert max(tenths.count(tenth) for tenth in set(tenths)) < 40 / 4
--- a/tests/proxy/test_endpoint_addresses.py
+++ b/tests/proxy/test_endpoint_addresses.py
@@ -1,4 +1,4 @@
-"""EndpointAddresses: packed addresses, and which endpoints have one after deltas and snapshots."""
+"""EndpointAddresses: packed addresses, and which endpoints have an address after deltas and snapshots."""
 
 import pytest
 
@@ -15,15 +15,15 @@
 
 @pytest.fixture
 def addresses() -> EndpointAddresses:
-    """A table that knows the endpoints a and b."""
-    table = EndpointAddresses()
+    """Addresses of the ready endpoints a and b."""
+    addresses = EndpointAddresses()
     for name in ("a", "b"):
-        table.update(Endpoint(name, EndpointState.READY, started_at=7), ADDRESS)
-    return table
+        addresses.update(Endpoint(name, EndpointState.READY, started_at=7), ADDRESS)
+    return addresses
 
 
 @pytest.mark.parametrize("address", [("10.0.0.1", 80, 0), ("host.zone-1", 65_535, 1 << 53), ("::1", 1, 7)])
-def test_unpacked_address_equals_what_was_packed(address: tuple[str, int, int]) -> None:
+def test_unpacking_a_packed_address_returns_its_parts(address: tuple[str, int, int]) -> None:
     host, port, started_at = address
     assert unpack_address(pack_address((host, port), started_at)) == EndpointAddress(*address)
 
@@ -43,16 +43,16 @@
     assert addresses.get("b") is not None
 
 
-def test_endpoint_that_a_whole_snapshot_does_not_name_is_removed(addresses: EndpointAddresses) -> None:
+def test_endpoint_that_a_complete_snapshot_does_not_name_is_removed(addresses: EndpointAddresses) -> None:
     addresses.begin_snapshot()
     addresses.update(Endpoint("b", EndpointState.READY), ADDRESS)
-    assert addresses.get("a") is not None  # until the snapshot is whole
+    assert addresses.get("a") is not None  # until the snapshot is complete
     assert list(addresses.finish_snapshot()) == ["a"]
     assert addresses.get("a") is None
     assert addresses.get("b") is not None
 
 
-def test_snapshot_that_begins_anew_forgets_the_one_before(addresses: EndpointAddresses) -> None:
+def test_new_snapshot_discards_an_unfinished_one(addresses: EndpointAddresses) -> None:
     addresses.begin_snapshot()
     addresses.update(Endpoint("a", EndpointState.READY), ADDRESS)
     addresses.begin_snapshot()
