--- a/rushroad/proxy/counter_client.py
+++ b/rushroad/proxy/counter_client.py
@@ -1,4 +1,7 @@
-"""Calls to the counter service, pipelined on a few connections that are kept up."""
+"""The counter service client: calls are pipelined on a few persistent connections.
+
+Times in seconds of the event loop's clock end in `_s`, those in microseconds in `_us`.
+"""
 
 from __future__ import annotations
 
@@ -17,66 +20,67 @@
 )
 
 CONNECTION_COUNT = 2
-CONNECT_TIMEOUT_S = 1.0  # seconds
-INITIAL_RECONNECT_DELAY_S = 0.05  # seconds before the second connect in a row; doubled with each further one
-MAX_RECONNECT_DELAY_S = 0.4  # seconds
-MONITOR_INTERVAL_S = 0.5  # seconds between checks of a connection
+CONNECT_TIMEOUT_S = 1.0
+INITIAL_RECONNECT_DELAY_S = 0.05  # before the second connect in a row; doubled for each further one
+MAX_RECONNECT_DELAY_S = 0.4
+MONITOR_INTERVAL_S = 0.5
 
 
-class CallsInFlight:
-    """The calls for one name that have not ended. They keep to one connection, and so to their order."""
+class InFlightCalls:
+    """The unfinished calls for one name. They share a connection, which keeps them in order."""
 
     __slots__ = ("connection", "count")
 
     def __init__(self, connection: CounterConnection) -> None:
-        self.connection = connection  # that the last of them was sent on
+        self.connection = connection  # on which the last of them was sent
         self.count = 1
 
 
 class CounterClient:
-    """The counter service, as the engine calls it."""
+    """The engine's client of the counter service."""
 
     def __init__(
         self,
         address: tuple[str, int],
-        timeout: int,
-        post: Callable[[CounterReply | LateCounterReply], None],
+        timeout_us: int,
+        on_event: Callable[[CounterReply | LateCounterReply], None],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """Begin to connect. timeout: microseconds after which a call without a reply ends as TIMEOUT.
+        """Start connecting.
 
-        `post` takes the events.
+        timeout_us: a call without a reply ends as TIMEOUT after this time. on_event: called with each
+        CounterReply and LateCounterReply.
         """
         self.loop = loop
-        self._address, self._timeout, self._post = address, timeout / 1e6, post
+        self._address, self._timeout_s, self._on_event = address, timeout_us / 1e6, on_event
         self._connections: list[CounterConnection | None] = [None] * CONNECTION_COUNT
-        self._in_flight: dict[int, CallsInFlight] = {}  # by name
+        self._in_flight: dict[int, InFlightCalls] = {}  # by name
         self._tasks = self._start_tasks()
 
     def _start_tasks(self) -> list[asyncio.Task[None]]:
         return [self.loop.create_task(self._maintain_connection(index)) for index in range(CONNECTION_COUNT)]
 
-    def add(self, name: int, amount: float, lifetime: int) -> None:
-        """Add to the total of a name; lifetime: microseconds that the counter keeps it.
+    def add(self, name: int, amount: float, lifetime_us: int) -> None:
+        """Add to the total of a name; lifetime_us: how long the counter keeps the total.
 
-        One CounterReply follows, and a LateCounterReply where the total comes after a TIMEOUT.
+        Exactly one CounterReply follows, and a LateCounterReply if the total arrives after a TIMEOUT.
         """
-        call = CounterCall(name, amount, encode_add(name, amount, lifetime), self.loop.time())
+        call = CounterCall(name, amount, encode_add(name, amount, lifetime_us), self.loop.time())
         connection = self.connection_for(name)
         if connection is None:
-            self.end(call, Result.CONNECT_FAILED)
+            self.finish(call, Result.CONNECT_FAILED)
             return
-        call.timer = self.loop.call_later(self._timeout, self.end, call, Result.TIMEOUT)
+        call.timer = self.loop.call_later(self._timeout_s, self.finish, call, Result.TIMEOUT)
         calls = self._in_flight.get(name)
         if calls is None:
-            self._in_flight[name] = CallsInFlight(connection)
+            self._in_flight[name] = InFlightCalls(connection)
         else:
             calls.connection = connection
             calls.count += 1
         connection.send(call)
 
     def connection_for(self, name: int) -> CounterConnection | None:
-        """Return the connection for calls of a name: its own, or another one while that is not usable."""
+        """Return the connection for calls of a name: its assigned one if usable, otherwise any usable one."""
         calls = self._in_flight.get(name)
         connection = self._connections[name % CONNECTION_COUNT] if calls is None else calls.connection
         if connection is not None and connection.is_usable():
@@ -86,7 +90,7 @@
     def set_address(self, address: tuple[str, int]) -> None:
         """Connect to another address.
 
-        Calls in flight end on their connections; new ones go there until those of the new address are up.
+        Calls in flight finish on the old connections, which also take new calls until they are replaced.
         """
         if address == self._address:
             return
@@ -95,10 +99,11 @@
             task.cancel()
         self._tasks = self._start_tasks()
 
-    def reply_received(self, call: CounterCall, line: bytes, is_retired: bool) -> None:
-        """Take the reply to a call; raises InvalidReplyError where the line is none.
+    def handle_reply(self, call: CounterCall, line: bytes, is_retired: bool) -> None:
+        """Process the reply to a call; raises InvalidReplyError if the line is not a valid reply.
 
-        Late totals on a retired connection are dropped: its counter may be another than the one in use.
+        Late totals from a retired connection are dropped, as they may come from a different counter than the
+        one now in use.
         """
         if call.name is None:
             if line != PING_REPLY:
@@ -107,35 +112,37 @@
         try:
             total = decode_total(line)
         except InvalidReplyError:
-            self.end(call, Result.RESET)  # it may have been added
+            self.finish(call, Result.RESET)  # the amount may have been added
             raise
         if total is None:
-            self.end(call, Result.OVERLOADED)
+            self.finish(call, Result.OVERLOADED)
             return
-        if call.ended and not is_retired:
-            self._post(LateCounterReply(call.name, call.amount, total))
-        self.end(call, Result.OK, total)
+        if call.finished and not is_retired:
+            self._on_event(LateCounterReply(call.name, call.amount, total))
+        self.finish(call, Result.OK, total)
 
-    def end(self, call: CounterCall, result: Result, total: float = 0.0) -> None:
-        """Report a call's outcome; later ones of the same call are dropped."""
-        if call.ended or call.name is None:
+    def finish(self, call: CounterCall, result: Result, total: float = 0.0) -> None:
+        """Report a call's outcome; further outcomes of the same call are dropped."""
+        if call.finished or call.name is None:
             return
-        call.ended = True
+        call.finished = True
         if call.timer is not None:
             call.timer.cancel()
             calls = self._in_flight[call.name]
             calls.count -= 1
             if not calls.count:
                 del self._in_flight[call.name]
-        self._post(CounterReply(call.name, result, int((self.loop.time() - call.started_at) * 1e6), total))
+        self._on_event(
+            CounterReply(call.name, result, int((self.loop.time() - call.started_at_s) * 1e6), total)
+        )
 
     async def _maintain_connection(self, index: int) -> None:
-        """Keep one connection up: connect again when it ends, at once if it had replied.
+        """Keep one connection open: reconnect when it is lost, at once if it had replied.
 
-        Meanwhile its names may go uncounted. After a connection without a reply the delay grows, so that one
-        that is reset each time does not make the loop spin.
+        Meanwhile calls for its names may go uncounted. After a connection without a reply the delay grows, so
+        that repeated resets don't make the event loop spin.
         """
-        delay = 0.0
+        delay_s = 0.0
         while True:
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -147,26 +154,26 @@
                     previous.retire()
                 await self._monitor(connection)
                 if connection.has_replied:
-                    delay = 0.0
-            except OSError:  # a TimeoutError is one, too
+                    delay_s = 0.0
+            except OSError:  # includes TimeoutError
                 pass
-            await asyncio.sleep(delay)
-            delay = min(MAX_RECONNECT_DELAY_S, delay * 2 or INITIAL_RECONNECT_DELAY_S)
+            await asyncio.sleep(delay_s)
+            delay_s = min(MAX_RECONNECT_DELAY_S, delay_s * 2 or INITIAL_RECONNECT_DELAY_S)
 
     async def _monitor(self, connection: CounterConnection) -> None:
-        """Close a connection that is dead, and ping one that is idle, until it is lost."""
+        """Until the connection is lost, close it if it is unresponsive and ping it if it is idle."""
         while not connection.lost.is_set():
             with suppress(TimeoutError):
                 async with asyncio.timeout(MONITOR_INTERVAL_S):
                     await connection.lost.wait()
-            now = self.loop.time()
-            if connection.is_dead(now):
+            now_s = self.loop.time()
+            if connection.is_unresponsive(now_s):
                 connection.close()
-            elif connection.needs_ping(now):
-                connection.ping(now)
+            elif connection.needs_ping(now_s):
+                connection.ping(now_s)
 
     def close(self) -> None:
-        """Close all connections, at the end of the process."""
+        """Close all connections at process shutdown."""
         for task in self._tasks:
             task.cancel()
         for connection in self._connections:
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -1,4 +1,4 @@
-"""Calls to a counter on loopback sockets: late replies, reconnects, and a counter that moves."""
+"""Calls to a counter on loopback sockets: late replies, reconnects, and a change of address."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 from tests.support.loopback import LOCAL, Peer
 
 
-def test_late_reply_ends_no_other_call_and_is_posted_as_late() -> None:
+def test_late_reply_finishes_no_other_call_and_is_reported_as_late() -> None:
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         client.add(8, 1.0, 1_000_000)
         writer, _ = await peer.hear()
@@ -37,24 +37,23 @@
 
 
 def test_late_total_over_the_quota_makes_the_policy_reject_the_next_request() -> None:
-    # Where most replies are late, what other gateways forwarded would stay unseen without it.
+    # If most replies are late, the gateway would otherwise not see what other gateways have forwarded.
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         driver = Driver()
         (call,) = driver.request()
         assert isinstance(call, CounterAdd)
         client.add(call.name, call.amount, call.lifetime)
         writer, _ = await peer.hear()
-        assert action_names(driver.handle(await replies.get())) == [
-            "StartAttempt"
-        ]  # in time, without its total
-        writer.write(b"ok 9\r\n")  # the others used 8 of 8
+        # The call timed out, so the request is forwarded without its total.
+        assert action_names(driver.handle(await replies.get())) == ["StartAttempt"]
+        writer.write(b"ok 9\r\n")  # the other gateways used 8 of 8
         driver.handle(await replies.late.get())
         assert action_names(driver.request()) == ["Reject"]
 
     play_calls(scenario, SHORT_TIMEOUT)
 
 
-def test_call_on_a_connection_that_breaks_is_reset_and_without_a_connection_is_connect_failed() -> None:
+def test_call_on_a_broken_connection_is_reset_and_without_a_connection_is_connect_failed() -> None:
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         client.add(8, 1.0, 1_000_000)
         await peer.hear()
@@ -65,7 +64,7 @@
             await asyncio.sleep(0)
         client.add(8, 1.0, 1_000_000)
         assert (await replies.get()).result is Result.CONNECT_FAILED
-        await all_connected(client)  # it connects again by itself
+        await all_connected(client)  # the client reconnects by itself
         client.add(8, 1.0, 1_000_000)
         while (received := await peer.hear())[1] == b"":
             pass
@@ -75,8 +74,8 @@
     play_calls(scenario, LONG_TIMEOUT)
 
 
-def test_names_of_a_connection_with_an_invalid_reply_go_on_on_the_other_in_order() -> None:
-    # What is not counted would be admitted without a count.
+def test_calls_for_a_name_move_in_order_to_the_other_connection_after_an_invalid_reply() -> None:
+    # Otherwise requests of that name would be admitted uncounted until the reconnect.
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         client.add(8, 1.0, 1_000_000)
         first, _ = await peer.hear()
@@ -86,7 +85,7 @@
         while (received := await peer.hear())[1] == b"":
             pass
         assert received[0] is not first
-        client.add(8, 3.0, 1_000_000)  # while one is in flight the next goes the same way, whatever is up
+        client.add(8, 3.0, 1_000_000)  # stays on that connection while a call of the name is in flight
         while (again := await peer.hear())[1] == b"":
             pass
         assert again == (received[0], b"bump 8 3.000000 1000\r\n")
@@ -96,7 +95,7 @@
     play_calls(scenario, LONG_TIMEOUT)
 
 
-def test_connection_that_had_replied_is_replaced_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lost_connection_that_had_replied_is_replaced_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(counter_client, "INITIAL_RECONNECT_DELAY_S", 60.0)
 
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
@@ -111,14 +110,14 @@
     play_calls(scenario, LONG_TIMEOUT)
 
 
-def test_calls_in_flight_end_on_the_old_address_and_new_ones_go_to_the_new_one_once_it_is_up() -> None:
+def test_calls_in_flight_finish_at_the_old_address_and_new_ones_go_to_the_new_one_once_connected() -> None:
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         client.add(8, 1.0, 1_000_000)
         writer, _ = await peer.hear()
         async with Peer() as other:
             client.set_address((LOCAL, other.port))
-            client.set_address((LOCAL, other.port))  # twice is harmless
-            client.add(7, 1.0, 1_000_000)  # no gap: the new one is not up yet
+            client.set_address((LOCAL, other.port))  # the same address again changes nothing
+            client.add(7, 1.0, 1_000_000)  # goes to the old address, as the new one is not connected yet
             assert (await peer.hear())[1] == b"bump 7 1.000000 1000\r\n"
             while len(other.writers) < 2:
                 await asyncio.sleep(0.001)
@@ -129,14 +128,14 @@
             assert (await replies.get()).total == 2.0
             writer.write(b"ok 1\r\n")
             assert (await replies.get()).total == 1.0
-            assert await peer.hear() == (writer, b"")  # closed, as no call is in flight on it
+            assert await peer.hear() == (writer, b"")  # closed once no call is in flight on it
             client.close()
 
     play_calls(scenario, LONG_TIMEOUT)
 
 
-def test_late_total_from_the_old_address_is_not_posted() -> None:
-    # It would be taken for what others have used on the new one, where the total may have begun anew.
+def test_late_total_from_the_old_address_is_not_reported() -> None:
+    # It would be taken for the usage at the new address, where the total may have started again from 0.
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         client.add(8, 1.0, 1_000_000)
         writer, _ = await peer.hear()
@@ -147,7 +146,7 @@
             while any(connection is None or connection in before for connection in client._connections):
                 await asyncio.sleep(0.001)
             writer.write(b"ok 9\r\n")
-            while (await peer.hear())[0] is not writer:  # its end
+            while (await peer.hear())[0] is not writer:  # until that connection is closed
                 pass
             assert replies.late.empty()
             client.close()
--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -1,4 +1,4 @@
-"""Connections to a counter on loopback sockets: commands, replies in order, pings, and when one closes."""
+"""Connections to a counter on loopback sockets: commands, ordered replies, pings, and closing."""
 
 import pytest
 
@@ -45,7 +45,7 @@
     play_calls(scenario, LONG_TIMEOUT)
 
 
-def test_idle_connection_is_kept_up_by_pings(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connection_is_kept_open_by_pings(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(counter_connection, "IDLE_PING_AFTER_S", 0.0)
     monkeypatch.setattr(counter_client, "MONITOR_INTERVAL_S", 0.01)
 
@@ -74,7 +74,7 @@
 
 
 def test_call_while_all_connections_are_closing_is_connect_failed() -> None:
-    # The transport would drop the call, as the other end has closed it.
+    # The transport would drop the call's data, as the peer has closed the connection.
     async def scenario(client: CounterClient, _peer: Peer, replies: RecordedReplies) -> None:
         while (connection := client.connection_for(8)) is not None:
             assert connection._transport is not None
