--- a/rushroad/proxy/discovery.py
+++ b/rushroad/proxy/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the discovery service: one connection that sends endpoint updates, and its reconnects."""
+"""The watch on the discovery service: a connection that receives endpoint updates, and its reconnects."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from rushroad.proxy.address import Address
 from rushroad.proxy.backoff import Backoff
 from rushroad.proxy.endpoint_decoder import (
-    DEFAULT_MEMORY_LIMIT,
+    DEFAULT_MEMORY_LIMIT_BYTES,
     UNEXPECTED_JSON_ERRORS,
     EndpointDecoder,
     ListedEndpoint,
@@ -24,33 +24,32 @@
 )
 from rushroad.proxy.nonblocking_log import log
 
-# Seconds without data after which another watch is opened: over two heartbeats. An update counts as notified
-# 6 s after the agent has it, whether or not it has arrived.
+# Time without data after which another watch is opened: more than two heartbeat intervals. An update counts
+# as notified 6 s after the agent has it, whether or not it has arrived.
 SILENCE_TIMEOUT_S = 4.2
-RESPONSE_TIMEOUT_S = 0.3  # seconds that the local agent may take to answer before another watch is opened
-# Seconds before a watch is opened again: the first pause and the longest. A drain, whose grace is short, may
-# be missed meanwhile.
+RESPONSE_TIMEOUT_S = 0.3  # for the local agent to answer, before another watch is opened
+# The reconnect delays are short because a drain, which has a short grace period, may be missed meanwhile.
 INITIAL_RECONNECT_DELAY_S = 0.1
 MAX_RECONNECT_DELAY_S = 0.2
-MAX_PENDING_WATCHES = 6  # watches that have not answered yet; beyond that the oldest is closed
+MAX_PENDING_WATCHES = 6  # unanswered watches; beyond that the oldest is closed
 UpdateHandler = Callable[[EndpointUpdate, list[ListedEndpoint]], None]
 
 
 class WatchConnection(asyncio.Protocol):
-    """One watch request, from its connect to its end."""
+    """One watch request, from connecting until it is closed."""
 
     def __init__(self, discovery: Discovery) -> None:
         self._discovery = discovery
         self._http = h11.Connection(h11.CLIENT)
         self._decoder = EndpointDecoder(discovery.settings, discovery.memory_limit)
-        self._received_data = False  # some of the response's body has arrived
-        self._processing = False  # parts that have arrived wait for their turns of the loop
+        self._received_data = False  # part of the response body has arrived
+        self._parts_pending = False  # received parts wait to be processed in later event loop iterations
         self._response_ended = False
-        self._error: Exception | None = None  # behind all that is still to be processed
+        self._error: Exception | None = None  # reported after the pending parts have been processed
         self._silence_timer: asyncio.TimerHandle | None = None
         self._closed = False
         self.transport: asyncio.Transport | None = None
-        self._established = False  # it has sent entries of a list, or a heartbeat
+        self._established = False  # entries of a list, or a heartbeat, have been received
         self.established_or_ended: asyncio.Future[None] = discovery.loop.create_future()
         self.silent_or_ended: asyncio.Future[None] = discovery.loop.create_future()
         self._connect_task = discovery.loop.create_task(self._connect())
@@ -62,10 +61,10 @@
             self.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Request the updates after the version at hand."""
+        """Request the updates after the current version."""
         transport = cast(asyncio.Transport, transport)
         self.transport = transport
-        if self._closed:  # while it connected
+        if self._closed:  # closed while connecting
             self.close()
             return
         target = f"/v1/servers?watch=1&from={self._discovery.version}"
@@ -74,7 +73,7 @@
         transport.write((self._http.send(request) or b"") + (self._http.send(h11.EndOfMessage()) or b""))
 
     def data_received(self, data: bytes) -> None:
-        """Take endpoint lists, and blank lines as heartbeats; anything else ends the watch."""
+        """Process endpoint lists, and blank lines as heartbeats; any other data ends the watch."""
         if self._closed:
             return
         if self._silence_timer is not None:
@@ -87,7 +86,7 @@
             self._read_response()
         except (h11.RemoteProtocolError, ValueError) as error:
             self._response_ended, self._error = True, error
-        if not self._processing:
+        if not self._parts_pending:
             self._process_next_part()
 
     def _read_response(self) -> None:
@@ -104,13 +103,13 @@
                 self._received_data = True
 
     def _process_next_part(self) -> None:
-        """Process one part; the next has another turn of the loop, and nothing more is read until then."""
+        """Process one part; further parts wait for later event loop iterations, with reading paused."""
         if self._closed:
             return
         try:
             part = self._next_part()
             if part is not None:
-                self._discovery.receive_part(part)
+                self._discovery.handle_part(part)
         except (RecursionError, *UNEXPECTED_JSON_ERRORS) as error:
             self._fail(error)
             return
@@ -122,25 +121,29 @@
             self._established = True
             self._discovery.watch_established(self)
             self._resolve(self.established_or_ended)
-        self._continue()
+        self._continue_processing()
 
     def _next_part(self) -> ListPart | None:
         part = self._decoder.next_part()
         if part is None and self._decoder.needs_data and self._decoder.is_truncated():
-            raise MalformedEndpointListError("a blank line within a list: its end is missing")
+            raise MalformedEndpointListError("endpoint list is truncated: blank line before its end")
         return part
 
-    def _continue(self) -> None:
-        more = not self._decoder.needs_data
-        if more:
+    def _continue_processing(self) -> None:
+        has_more = not self._decoder.needs_data
+        if has_more:
             self._discovery.loop.call_soon(self._process_next_part)
         elif self._error is not None:
             self._fail(self._error)
         elif self._response_ended:
             self.close()
-        if more is not self._processing and self.transport is not None and not self.transport.is_closing():
-            (self.transport.pause_reading if more else self.transport.resume_reading)()
-        self._processing = more
+        if (
+            has_more is not self._parts_pending
+            and self.transport is not None
+            and not self.transport.is_closing()
+        ):
+            (self.transport.pause_reading if has_more else self.transport.resume_reading)()
+        self._parts_pending = has_more
 
     def _fail(self, error: Exception) -> None:
         log(f"discovery sent a watch response that can't be read; closing it and opening another: {error!r}")
@@ -160,7 +163,7 @@
         self.connection_lost(None)
 
     def connection_lost(self, _: Exception | None) -> None:
-        """Report the end of the watch; Discovery opens another."""
+        """Report the end of the watch, after which Discovery opens another."""
         if self._silence_timer is not None:
             self._silence_timer.cancel()
         self._resolve(self.established_or_ended)
@@ -168,7 +171,7 @@
 
 
 class Discovery:
-    """Keeps one watch established. An older one is read until a newer one has sent something."""
+    """Keeps one watch established. The previous one is read until a newer one is established."""
 
     def __init__(
         self,
@@ -178,32 +181,35 @@
         on_update: UpdateHandler,
         loop: asyncio.AbstractEventLoop,
         rng: random.Random,
-        memory_limit: int = DEFAULT_MEMORY_LIMIT,
+        memory_limit: int = DEFAULT_MEMORY_LIMIT_BYTES,
     ) -> None:
-        """version: of the endpoint list at hand, 0 for none; rng: jitter; memory_limit: bytes."""
+        """Start the first watch.
+
+        version: of the current endpoint list, 0 if there is none; rng: for the jitter; memory_limit: bytes.
+        """
         self.loop = loop
         self.version = version
         self.address, self.settings, self.memory_limit = address, settings, memory_limit
-        self.list_received = asyncio.Event()  # a whole list has come since the start
+        self.list_received = asyncio.Event()  # a complete list has been received since the start
         self._on_update = on_update
         self._backoff = Backoff(INITIAL_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S, rng)
-        self._newest_started = version  # the newest version of which a part has come
-        self._not_ready: set[str] = set()  # endpoints that parts of it name as draining or removed
+        self._newest_seen_version = version  # the newest version of which at least one part was received
+        self._not_ready: set[str] = set()  # endpoints that its parts list as draining or removed
         self._watch: WatchConnection | None = None  # the last one that was established
-        self._pending: list[WatchConnection] = []  # not established yet
-        self._task = loop.create_task(self._keep_watching())
+        self._pending_watches: list[WatchConnection] = []  # not established yet
+        self._task = loop.create_task(self._maintain_watch())
 
     def set_address(self, address: Address) -> None:
-        """Watch at another address, from the version at hand; the old watch is read until it answers."""
+        """Watch at another address, from the current version; the old watch is read until it answers."""
         if address == self.address:
             return
         self.address = address
         self._task.cancel()
         self._close_pending()
-        self._task = self.loop.create_task(self._keep_watching())
+        self._task = self.loop.create_task(self._maintain_watch())
 
-    def receive_part(self, part: ListPart) -> None:
-        """Pass a part of a list on, whichever watch sent it. One of an older version changes nothing."""
+    def handle_part(self, part: ListPart) -> None:
+        """Pass on a part of a list from any watch, unless its version is older than the current one."""
         update, listed, ends_list = part
         if update.version < self.version:
             if ends_list:
@@ -213,11 +219,11 @@
                 )
             return
         changes_table = bool(listed) or (ends_list and update.kind is UpdateKind.SNAPSHOT)
-        if update.version < self._newest_started:
-            listed = self._without_revived(listed)
+        if update.version < self._newest_seen_version:
+            listed = self._without_stale_ready(listed)
             update = structs.replace(update, endpoints=tuple(endpoint for endpoint, _ in listed))
         else:
-            self._note_not_ready(update, ends_list)
+            self._record_not_ready(update, ends_list)
         if changes_table:
             self._on_update(update, listed)
         if ends_list:
@@ -225,17 +231,17 @@
             self._backoff.reset()
             self.list_received.set()
 
-    def _without_revived(self, listed: list[ListedEndpoint]) -> list[ListedEndpoint]:
-        """Leave out what an older list calls ready and a newer one, that broke off, draining or removed."""
+    def _without_stale_ready(self, listed: list[ListedEndpoint]) -> list[ListedEndpoint]:
+        """Leave out ready endpoints that a newer but incomplete list named as draining or removed."""
         return [
             (endpoint, address)
             for endpoint, address in listed
             if endpoint.state is not EndpointState.READY or endpoint.name not in self._not_ready
         ]
 
-    def _note_not_ready(self, update: EndpointUpdate, ends_list: bool) -> None:
-        """Note drains and removals until their list is complete: an older one may follow if it breaks off."""
-        self._newest_started = update.version
+    def _record_not_ready(self, update: EndpointUpdate, ends_list: bool) -> None:
+        """Record drains and removals until their list is complete; if it is cut off, an older may follow."""
+        self._newest_seen_version = update.version
         for endpoint in update.endpoints:
             if endpoint.state is EndpointState.READY:
                 self._not_ready.discard(endpoint.name)
@@ -245,38 +251,40 @@
             self._not_ready.clear()
 
     def watch_established(self, watch: WatchConnection) -> None:
-        """Close all other watches: this one has sent something."""
-        self._pending.remove(watch)
+        """Close all other watches, as this one has been established."""
+        self._pending_watches.remove(watch)
         previous, self._watch = self._watch, watch
         if previous is not None:
             previous.close()
         self._close_pending()
 
     def _close_pending(self) -> None:
-        for watch in self._pending:
+        for watch in self._pending_watches:
             watch.close()
-        self._pending.clear()
+        self._pending_watches.clear()
 
-    async def _keep_watching(self) -> None:
-        """Open watches until one is established, then wait until it has ended or fallen silent.
+    async def _maintain_watch(self) -> None:
+        """Open watches until one is established, then wait until it ends or its silence timeout expires.
 
-        One that doesn't answer at once stays open beside the next: an agent that was unreachable may answer
-        any of them when it is back, and what it sends then counts as notified.
+        An unanswered watch stays open while the next one is tried: an agent that was unreachable may answer
+        any of them once it is back, and the updates that it sends count as notified.
         """
         while True:
-            self._pending = [watch for watch in self._pending if not watch.silent_or_ended.done()]
-            if len(self._pending) >= MAX_PENDING_WATCHES:
-                self._pending.pop(0).close()
+            self._pending_watches = [
+                watch for watch in self._pending_watches if not watch.silent_or_ended.done()
+            ]
+            if len(self._pending_watches) >= MAX_PENDING_WATCHES:
+                self._pending_watches.pop(0).close()
             watch = WatchConnection(self)
-            self._pending.append(watch)
+            self._pending_watches.append(watch)
             await asyncio.wait([watch.established_or_ended], timeout=RESPONSE_TIMEOUT_S)
-            # Another of them may have been the one that was established.
-            if self._watch is not None and not self._pending:
+            # The established watch may be an earlier one.
+            if self._watch is not None and not self._pending_watches:
                 await asyncio.wait([self._watch.silent_or_ended])
             await asyncio.sleep(self._backoff.next_delay())
 
     def close(self) -> None:
-        """Close all watches, at the end of the process."""
+        """Close all watches at process shutdown."""
         self._task.cancel()
         self._close_pending()
         if self._watch is not None:
--- a/rushroad/proxy/endpoint_decoder.py
+++ b/rushroad/proxy/endpoint_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes and validates endpoint lists in discovery's JSON form, part by part, while their text arrives."""
+"""Decodes and validates endpoint lists in discovery's JSON format, part by part, as their text arrives."""
 
 from __future__ import annotations
 
@@ -20,25 +20,27 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
 }
-MAX_ENDPOINTS_PER_PART = 250  # handled in one turn of the event loop: about 2 ms
-DEFAULT_MEMORY_LIMIT = 192 << 20  # bytes that a gateway may use
-LIST_TEXT_SHARE = 0.25  # of the memory limit: the text of one list; its endpoint tables take about as much
-BUFFERED_TEXT_SHARE = 0.17  # of the memory limit: text of one list that is buffered until its version comes
-MEMORY_PER_ENDPOINT = 1024  # bytes of the memory limit for each endpoint of the longest list
-VERSION_LIMIT = 1 << 63  # a larger one would make all later updates look old
-# What reading keys and values of JSON of an unexpected shape raises.
+MAX_ENDPOINTS_PER_PART = 250  # processed in one event loop iteration, in about 2 ms
+DEFAULT_MEMORY_LIMIT_BYTES = 192 << 20  # of a gateway process
+# Shares of the memory limit for the text of one list, and for text that is buffered until the list's version
+# arrives. The endpoint tables of a list take about as much memory as its text.
+LIST_TEXT_SHARE = 0.25
+BUFFERED_TEXT_SHARE = 0.17
+MEMORY_PER_ENDPOINT_BYTES = 1024  # of the memory limit for each endpoint of the longest list
+VERSION_LIMIT = 1 << 63  # a larger version would make all later updates look old
+# Raised when keys and values of JSON with an unexpected structure are read.
 UNEXPECTED_JSON_ERRORS = (ArithmeticError, AttributeError, KeyError, TypeError, ValueError)
-# An endpoint and where it takes requests; NO_ADDRESS where it is sent nothing and its address may be missing.
-# A plain tuple, as a NamedTuple of each of 97,000 endpoints makes decoding them a quarter slower.
+# An endpoint and its address, or NO_ADDRESS if it gets no requests and its address may be missing. A plain
+# tuple, because decoding 97,000 endpoints into a NamedTuple each is a quarter slower.
 ListedEndpoint = tuple[Endpoint, Address]
 
 
 class MalformedEndpointListError(ValueError):
-    """The text is not an endpoint list, or a list is too long for the memory limit."""
+    """The text is not an endpoint list, or the list is too long for the memory limit."""
 
 
 class EndpointEntry(msgspec.Struct, rename="camel", gc=False):
-    """An endpoint as discovery writes it; defaults stand for keys that are left out."""
+    """An endpoint as discovery sends it, with the defaults of keys that are left out."""
 
     instance_id: str
     lifecycle: str
@@ -54,7 +56,7 @@
 
 
 def _parse_entries(text: bytes) -> list[Any]:
-    """Parse entries with commas between them: EndpointEntry, or plain JSON where any is malformed."""
+    """Parse comma-separated entries into EndpointEntry, or into plain JSON values if any is malformed."""
     array = b"[" + text + b"]"
     try:
         return ENTRIES_DECODER.decode(array)
@@ -62,33 +64,36 @@
         return cast(list[Any], json.loads(array))
 
 
-def _coerce_entry(item: Any) -> EndpointEntry:
-    """An entry of plain JSON, as far as its values can be converted to the types they should have."""
+def _coerce_entry(entry: Any) -> EndpointEntry:
+    """Convert an entry in plain JSON, and its values to the expected types.
+
+    Raises one of UNEXPECTED_JSON_ERRORS if that is impossible.
+    """
     return EndpointEntry(
-        instance_id=str(item["instanceId"]),
-        lifecycle=item["lifecycle"],
-        host_port=item.get("hostPort", ""),
-        zone=item.get("zone"),
-        machine_type=item.get("machineType"),
-        cell=int(item.get("cell", 0)),
-        weight=float(item.get("weight", 1.0)),
-        started_at_ms=int(item.get("startedAtMs", 0)),
+        instance_id=str(entry["instanceId"]),
+        lifecycle=entry["lifecycle"],
+        host_port=entry.get("hostPort", ""),
+        zone=entry.get("zone"),
+        machine_type=entry.get("machineType"),
+        cell=int(entry.get("cell", 0)),
+        weight=float(entry.get("weight", 1.0)),
+        started_at_ms=int(entry.get("startedAtMs", 0)),
     )
 
 
-def _read_endpoint(item: Any, settings: ProxySettings) -> ListedEndpoint:
-    """Read an entry. Raises one of UNEXPECTED_JSON_ERRORS where it can't be read.
+def _read_endpoint(entry: Any, settings: ProxySettings) -> ListedEndpoint:
+    """Read an entry. Raises one of UNEXPECTED_JSON_ERRORS if it can't be read.
 
-    Of a draining or removed endpoint only the name has to be readable, as nothing more is sent to it.
+    For a draining or removed endpoint only the name has to be readable, as it gets no more requests.
     """
-    decoded = isinstance(item, EndpointEntry)
-    state = ENDPOINT_STATES[item.lifecycle if decoded else item["lifecycle"]]
+    is_decoded = isinstance(entry, EndpointEntry)
+    state = ENDPOINT_STATES[entry.lifecycle if is_decoded else entry["lifecycle"]]
     try:
-        return _convert_entry(item if decoded else _coerce_entry(item), state, settings)
+        return _convert_entry(entry if is_decoded else _coerce_entry(entry), state, settings)
     except UNEXPECTED_JSON_ERRORS:
         if state is EndpointState.READY:
             raise
-        name = str(item.instance_id if decoded else item["instanceId"])
+        name = str(entry.instance_id if is_decoded else entry["instanceId"])
         return Endpoint(name, state), NO_ADDRESS
 
 
@@ -105,20 +110,20 @@
         started_at=entry.started_at_ms * 1_000,
         weight=entry.weight,
     )
-    # A removed endpoint may have no address any more; its removal has to be taken all the same.
+    # A removed endpoint may no longer have an address; its removal is still valid.
     address = NO_ADDRESS if state is EndpointState.REMOVED else parse_address(entry.host_port)
     return endpoint, address
 
 
 class ListHeader(NamedTuple):
-    """What a list is, and its version."""
+    """The kind and the version of an endpoint list."""
 
     kind: UpdateKind
     version: int
 
 
 def _read_header(document: Any, kind: UpdateKind | None) -> ListHeader:
-    """Read kind and version of a list without its entries; a kind that is given stands for the list's own."""
+    """Read the kind and version of a list without its entries; a given kind overrides the list's own."""
     version = document["generation"]
     if type(version) is not int or not 0 <= version < VERSION_LIMIT:
         raise MalformedEndpointListError(
@@ -134,7 +139,7 @@
 
 
 class ListPart(NamedTuple):
-    """A part of an endpoint list. Each part of a delta is an update of its own for the policy."""
+    """A part of an endpoint list. The policy receives each part of a delta as a separate update."""
 
     update: EndpointUpdate
     listed: list[ListedEndpoint]  # the update's endpoints, with their addresses
@@ -142,12 +147,12 @@
 
 
 class EndpointDecoder:
-    """Decodes lists in discovery's form as their text arrives, in parts of up to MAX_ENDPOINTS_PER_PART.
+    """Decodes lists in discovery's format as their text arrives, in parts of up to MAX_ENDPOINTS_PER_PART.
 
-    A part is returned as soon as it can be read. Where the rest of its list turns out to be malformed, or
-    never arrives, the parts before stay valid; but such a list has no last part, so no endpoint is removed
-    because the list does not name it, and its version is not taken over. Where `generation` and `reset` come
-    behind the entries, unlike on the protocol page, the text of the entries is buffered until they do.
+    A part is returned as soon as it can be read. If the rest of its list turns out to be malformed or never
+    arrives, the parts already returned stay valid. Such a list has no last part, so it removes no endpoint
+    that it does not name, and its version is not adopted. If `generation` and `reset` follow the entries,
+    unlike in the protocol specification, the text of the entries is buffered until they arrive.
     """
 
     def __init__(
@@ -157,25 +162,25 @@
         kind: UpdateKind | None = None,
         path: tuple[str, ...] = (),
     ) -> None:
-        """memory_limit: bytes that the gateway may use; kind: None where each list says its own.
+        """Decode lists of the given kind, or of the kind that each list states if `kind` is None.
 
-        path: the keys that lead to the list where it is part of a larger object.
+        memory_limit: bytes that the gateway may use; path: keys that lead to the list in a larger object.
         """
         self._splitter = JsonSplitter((*path, "instances"))
         self._settings, self._kind, self._path = settings, kind, path
-        self._max_text = int(memory_limit * LIST_TEXT_SHARE)  # bytes
-        self._max_buffered_text = int(memory_limit * BUFFERED_TEXT_SHARE)  # bytes
-        self._max_endpoints = memory_limit // MEMORY_PER_ENDPOINT
-        self.needs_data = True  # all that can be decoded of the text fed so far has been returned
+        self._max_text_bytes = int(memory_limit * LIST_TEXT_SHARE)
+        self._max_buffered_text_bytes = int(memory_limit * BUFFERED_TEXT_SHARE)
+        self._max_endpoints = memory_limit // MEMORY_PER_ENDPOINT_BYTES
+        self.needs_data = True  # all parts that can be decoded from the text so far have been returned
         self._start_list()
 
     def _start_list(self) -> None:
         self._header: ListHeader | None = None
-        self._texts: deque[bytes] = deque()  # runs of entries that are not parsed yet
-        self._items: list[Any] = []  # parsed entries that are not returned yet
-        self._text_size = 0  # bytes of this list's entries so far
+        self._runs: deque[bytes] = deque()  # of entries that are not parsed yet
+        self._entries: list[Any] = []  # parsed, not returned yet
+        self._text_bytes = 0  # of this list's entries so far
         self._is_first_part, self._all_received = True, False
-        self._received = self._decoded = 0  # entries: parsed, and of these those that could be read
+        self._parsed_count = self._decoded_count = 0  # entries parsed, and entries that could be read
 
     def feed(self, data: bytes) -> None:
         """Add text that has arrived."""
@@ -183,17 +188,17 @@
         self.needs_data = False
 
     def received_entries_or_heartbeat(self) -> bool:
-        """True where entries of a list have arrived, and where no list is incomplete."""
-        return self._text_size > 0 or self._splitter.is_between_documents()
+        """Return whether entries of the current list have arrived, or no list is incomplete."""
+        return self._text_bytes > 0 or self._splitter.is_between_documents()
 
     def is_truncated(self) -> bool:
-        """True where a blank line, which stands only between lists, has come within one."""
+        """Return whether a blank line, which is only valid between lists, has arrived inside a list."""
         return self._splitter.has_blank_line()
 
     def next_part(self) -> ListPart | None:
-        """Return the next part; None where more text is needed or, with needs_data False, another call.
+        """Return the next part, or None; after None, call again unless needs_data is true.
 
-        Raises MalformedEndpointListError where the text is not a list or the list is too long.
+        Raises MalformedEndpointListError if the text is not a list or the list is too long.
         """
         try:
             return self._next_part()
@@ -203,17 +208,20 @@
             raise MalformedEndpointListError(f"not an endpoint list: {error!r}") from error
 
     def _next_part(self) -> ListPart | None:
-        if self._header is None or not (self._items or self._texts or self._all_received):
+        if self._header is None or not (self._entries or self._runs or self._all_received):
             run = self._splitter.next_run()
             self.needs_data = run is None
             if run is not None:
                 self._add_run(run)
             if self._header is None or run is None:
                 return None
-        while self._texts and len(self._items) < MAX_ENDPOINTS_PER_PART:
-            self._items += _parse_entries(self._texts.popleft())
-        items, self._items = self._items[:MAX_ENDPOINTS_PER_PART], self._items[MAX_ENDPOINTS_PER_PART:]
-        return self._decode_part(items, self._all_received and not self._items and not self._texts)
+        while self._runs and len(self._entries) < MAX_ENDPOINTS_PER_PART:
+            self._entries += _parse_entries(self._runs.popleft())
+        entries, self._entries = (
+            self._entries[:MAX_ENDPOINTS_PER_PART],
+            self._entries[MAX_ENDPOINTS_PER_PART:],
+        )
+        return self._decode_part(entries, self._all_received and not self._entries and not self._runs)
 
     def _add_run(self, run: JsonRun) -> None:
         document: Any = run.document
@@ -222,38 +230,38 @@
         if run.ends_document or {"generation", "reset"} <= document.keys():
             header = _read_header(document, self._kind)
             if self._header not in (None, header):
-                raise MalformedEndpointListError("a list with two versions")
+                raise MalformedEndpointListError("endpoint list states two versions or kinds")
             self._header = header
         self._all_received = run.ends_document
         if run.entries:
-            self._texts.append(run.entries)
-            self._text_size += len(run.entries)
+            self._runs.append(run.entries)
+            self._text_bytes += len(run.entries)
             self._check_limits()
 
     def _check_limits(self) -> None:
-        """Keep lists that are too long, or never end, from using up the memory."""
-        if self._text_size > self._max_text or self._received > self._max_endpoints:
+        """Keep lists that are too long, or never end, from exhausting the memory."""
+        if self._text_bytes > self._max_text_bytes or self._parsed_count > self._max_endpoints:
             raise MalformedEndpointListError(
-                f"a list of over {self._max_endpoints} endpoints or {self._max_text} bytes: more than the "
-                "memory limit allows"
+                f"endpoint list has over {self._max_endpoints} endpoints or {self._max_text_bytes} bytes: "
+                "more than the memory limit allows"
             )
-        if self._header is None and self._text_size > self._max_buffered_text:
+        if self._header is None and self._text_bytes > self._max_buffered_text_bytes:
             raise MalformedEndpointListError(
-                f"a list with its version behind over {self._max_buffered_text} bytes of endpoints, which "
-                "have to be buffered: more than the memory limit allows"
+                f"endpoint list has over {self._max_buffered_text_bytes} bytes of endpoints before its "
+                "version, which have to be buffered: more than the memory limit allows"
             )
 
-    def _decode_part(self, items: list[Any], ends_list: bool) -> ListPart:
+    def _decode_part(self, entries: list[Any], ends_list: bool) -> ListPart:
         assert self._header is not None
         kind, version = self._header
-        listed = self._read_endpoints(items)
+        listed = self._read_endpoints(entries)
         is_first_part = self._is_first_part
         self._is_first_part = is_first_part and not listed
         if ends_list:
-            if self._received and not self._decoded and kind is not UpdateKind.DELTA:
-                raise MalformedEndpointListError("a full list without an endpoint that can be read")
+            if self._parsed_count and not self._decoded_count and kind is not UpdateKind.DELTA:
+                raise MalformedEndpointListError("snapshot has no endpoint that can be read")
             self._start_list()
-        is_delta = kind is UpdateKind.DELTA  # only the parts of a full list belong together
+        is_delta = kind is UpdateKind.DELTA  # each part of a delta is complete in itself
         update = EndpointUpdate(
             kind,
             version,
@@ -263,14 +271,14 @@
         )
         return ListPart(update, listed, ends_list)
 
-    def _read_endpoints(self, items: list[Any]) -> list[ListedEndpoint]:
+    def _read_endpoints(self, entries: list[Any]) -> list[ListedEndpoint]:
         listed = []
-        for item in items:
+        for entry in entries:
             try:
-                listed.append(_read_endpoint(item, self._settings))
+                listed.append(_read_endpoint(entry, self._settings))
             except UNEXPECTED_JSON_ERRORS as error:
-                text = str(item)[:200]
+                text = str(entry)[:200]
                 log(f"endpoint list has an entry that can't be read; skipping it: {error!r} in {text}")
-        self._received += len(items)
-        self._decoded += len(listed)
+        self._parsed_count += len(entries)
+        self._decoded_count += len(listed)
         return listed
--- a/rushroad/proxy/json_splitter.py
+++ b/rushroad/proxy/json_splitter.py
@@ -1,4 +1,4 @@
-"""Splits JSON documents that each hold one long array into runs of its entries, while their text arrives."""
+"""Splits JSON documents with one long array each into runs of array entries, as their text arrives."""
 
 from __future__ import annotations
 
@@ -8,38 +8,38 @@
 
 import msgspec
 
-RUN_BYTES = 32 * 1024  # of entries split off at once: about 150 endpoints
-MAX_ENTRY_BYTES = 64 * 1024  # of one entry
-MAX_DOCUMENT_BYTES = 1024 * 1024  # of a document without its array: a configuration is the largest
+MAX_RUN_BYTES = 32 * 1024  # about 150 endpoints
+MAX_ENTRY_BYTES = 64 * 1024
+MAX_DOCUMENT_BYTES = 1024 * 1024  # not counting the array; the largest document is a configuration
 BLANK_LINE = re.compile(rb"\n[ \t\r]*\n")
 SEPARATOR = re.compile(rb"[ \t\r\n]*(,?)[ \t\r\n]*")
 ARRAY_END = re.compile(rb"[ \t\r\n]*\]")
 COMMA = re.compile(r"[ \t\r\n]*,[ \t\r\n]*")
 JSON_DECODER = json.JSONDecoder()
-RAW_VALUES_DECODER = msgspec.json.Decoder(list[msgspec.Raw])  # finds only where each value ends
+RAW_VALUES_DECODER = msgspec.json.Decoder(list[msgspec.Raw])  # finds where values end without decoding them
 
 
 class MalformedJsonError(ValueError):
-    """The text is not a series of JSON objects, or one of them is too long."""
+    """The text is not a sequence of JSON objects, or one of them is too long."""
 
 
 class JsonRun(NamedTuple):
-    """Whole entries of the array, or nothing but the end of the document."""
+    """Complete entries of the array, the end of the document, or both."""
 
-    document: dict[str, Any]  # with an empty array, as far as it has arrived
-    entries: bytes  # with commas between them
+    document: dict[str, Any]  # as far as it has arrived, with an empty array
+    entries: bytes  # comma-separated
     ends_document: bool
 
 
 def _is_incomplete(error: json.JSONDecodeError, text: str) -> bool:
-    """Whether more text could make it valid."""
+    """Return whether more text could make the text valid."""
     return error.pos >= len(text) or error.msg.startswith("Unterminated string")
 
 
 def _decode_document(text: str) -> tuple[dict[str, Any], int] | None:
-    """Return the first object and where it ends; None where it is incomplete.
+    """Return the first object and the position of its end; None if it is incomplete.
 
-    Raises json.JSONDecodeError where no further text can make it valid.
+    Raises json.JSONDecodeError if no further text can make it valid.
     """
     try:
         document, end = JSON_DECODER.raw_decode(text)
@@ -51,9 +51,9 @@
 
 
 def _find_last_entry_end(text: str) -> int:
-    """Return where the last whole entry ends, or the array does; 0 where not even one is whole.
+    """Return the position of the end of the last complete entry; 0 if there is none.
 
-    Raises json.JSONDecodeError where the first entry is malformed.
+    Raises json.JSONDecodeError if the first entry is malformed.
     """
     end = start = 0
     while start < len(text):
@@ -70,14 +70,14 @@
     return end
 
 
-def _whole_entries_size(text: bytes) -> int:
-    """Return how many bytes of the text are whole entries."""
+def _complete_entries_size(text: bytes) -> int:
+    """Return how many bytes of the text are complete entries."""
     size = text.rfind(b"}") + 1
     if not size:
         return 0
     text = text[:size]
     try:
-        RAW_VALUES_DECODER.decode(b"[" + text + b"]")  # valid up to a brace: only whole entries
+        RAW_VALUES_DECODER.decode(b"[" + text + b"]")  # fails if the last brace does not end an entry
     except msgspec.DecodeError:
         decoded = text.decode()
         return len(decoded[: _find_last_entry_end(decoded)].encode())
@@ -85,30 +85,30 @@
 
 
 class JsonSplitter:
-    """Splits JSON objects, one a line or indented over many, with an array at the same path in each.
+    """Splits JSON objects, compact or indented, that have an array at the same path.
 
     Only text that has not been split yet and the document's other keys are kept in memory.
     """
 
     def __init__(self, path: tuple[str, ...]) -> None:
-        """path: the keys that lead to the array."""
+        """Split the array at this path of keys."""
         self._path = path
         self._array_start = re.compile(rb'"%b"[ \t\r\n]*:[ \t\r\n]*\[' % path[-1].encode())
         self._text = b""
         self._start_document()
 
     def _start_document(self) -> None:
-        self._head = b""  # the document's text up to the array, and an empty array
+        self._head = b""  # the document's text up to the array, followed by an empty array
         self._document: dict[str, Any] = {}
         self._before_first_entry = True
         self._array_ended = False
 
     def is_between_documents(self) -> bool:
-        """True where no document has begun, or the last one is complete."""
+        """Return whether no document has begun, or the last one is complete."""
         return not self._head and not self._text
 
     def has_blank_line(self) -> bool:
-        """True where a blank line stands in the text that is not split yet."""
+        """Return whether the text that is not split yet contains a blank line."""
         return bool(BLANK_LINE.search(self._text))
 
     def feed(self, data: bytes) -> None:
@@ -116,9 +116,9 @@
         self._text += data
 
     def next_run(self) -> JsonRun | None:
-        """Return the next run; None where more text is needed.
+        """Return the next run; None if more text is needed.
 
-        Raises MalformedJsonError, or another ValueError, where the text is malformed.
+        Raises MalformedJsonError, or another ValueError, if the text is malformed.
         """
         if not self._head:
             self._text = self._text.lstrip()
@@ -141,7 +141,7 @@
                 for key in self._path:
                     value = value[key]
             except (ValueError, LookupError, TypeError):
-                continue  # the key stands elsewhere, or within a string
+                continue  # the key is at another path, or inside a string
             if value == []:
                 self._head, self._document = window[: found.end()] + b"]", document
                 self._text = self._text[found.end() :]
@@ -149,14 +149,14 @@
         return False
 
     def _find_document_end(self) -> JsonRun | None:
-        """The end of a document whose array is split, or that has none; None where it has not arrived."""
+        """Return the end of a document whose array is split or missing; None if it has not arrived."""
         window = self._text[:MAX_DOCUMENT_BYTES]
         text = (self._head + window[: window.rfind(b"}") + 1]).decode()
         found = _decode_document(text) if text.endswith("}") else None
         if found is None:
             if len(window) == MAX_DOCUMENT_BYTES:
                 raise MalformedJsonError(
-                    f"a JSON object of over {MAX_DOCUMENT_BYTES} bytes without its array"
+                    f"JSON object has over {MAX_DOCUMENT_BYTES} bytes, not counting its array"
                 )
             return None
         document, end = found
@@ -165,7 +165,7 @@
         return JsonRun(document, b"", ends_document=True)
 
     def _split_entries(self) -> bytes:
-        """Split off whole entries, as far as they have arrived."""
+        """Split off the complete entries that have arrived, up to MAX_RUN_BYTES or one longer entry."""
         separator = SEPARATOR.match(self._text)
         assert separator is not None
         start = separator.end()
@@ -176,12 +176,12 @@
             self._array_ended, self._text = True, self._text[start + 1 :]
             return b""
         if has_comma is self._before_first_entry:
-            raise MalformedJsonError("expected one comma between two entries and none before the first")
-        size = _whole_entries_size(self._text[start : start + RUN_BYTES])
-        size = size or _whole_entries_size(self._text[start : start + MAX_ENTRY_BYTES])
+            raise MalformedJsonError("expected one comma between array entries and none before the first")
+        size = _complete_entries_size(self._text[start : start + MAX_RUN_BYTES])
+        size = size or _complete_entries_size(self._text[start : start + MAX_ENTRY_BYTES])
         if not size:
             if len(self._text) - start >= MAX_ENTRY_BYTES:
-                raise MalformedJsonError(f"an entry of over {MAX_ENTRY_BYTES} bytes")
+                raise MalformedJsonError(f"array entry has over {MAX_ENTRY_BYTES} bytes")
             return b""
         entries = self._text[start : start + size]
         self._text, self._before_first_entry = self._text[start + size :], False
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -162,7 +162,7 @@
         while opened < 3 * limit or closed < limit:
             heard = (await watch.peer.hear())[1]
             opened, closed = opened + (heard != b""), closed + (heard == b"")
-            assert len(watch.discovery._pending) <= limit
+            assert len(watch.discovery._pending_watches) <= limit
 
     play_watch(scenario)
 
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -8,7 +8,7 @@
 
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from rushroad.proxy.endpoint_decoder import ENDPOINT_STATES, MAX_ENDPOINTS_PER_PART
-from rushroad.proxy.json_splitter import RUN_BYTES, JsonRun, JsonSplitter
+from rushroad.proxy.json_splitter import MAX_RUN_BYTES, JsonRun, JsonSplitter
 from tests.support.loopback import LOCAL
 from tests.support.watch import (
     LONG_LIST_SIZE,
@@ -94,7 +94,7 @@
 
         monkeypatch.setattr(JsonSplitter, "next_run", record_turn)
         await watch.peer.answer(RESPONSE_HEAD + chunk(text[:-20]))
-        while len(run_turns) < len(text) // RUN_BYTES:
+        while len(run_turns) < len(text) // MAX_RUN_BYTES:
             await asyncio.sleep(0)
         assert len(set(run_turns)) == len(run_turns)  # each has a turn of its own
         assert watch.discovery._watch is not None  # established, though it has passed nothing on
--- a/tests/support/watch.py
+++ b/tests/support/watch.py
@@ -8,7 +8,7 @@
 
 from rushroad.policy.events import EndpointUpdate
 from rushroad.proxy.discovery import Discovery
-from rushroad.proxy.endpoint_decoder import DEFAULT_MEMORY_LIMIT, ListedEndpoint
+from rushroad.proxy.endpoint_decoder import DEFAULT_MEMORY_LIMIT_BYTES, ListedEndpoint
 from tests.support.loopback import LOCAL, NAMES, Peer, run
 
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -108,7 +108,7 @@
 
 
 def play_watch(
-    scenario: Callable[[Watch], Awaitable[None]], memory_limit: int = DEFAULT_MEMORY_LIMIT
+    scenario: Callable[[Watch], Awaitable[None]], memory_limit: int = DEFAULT_MEMORY_LIMIT_BYTES
 ) -> None:
     """Play a scenario on a new watch."""
 
