--- a/rushroad/proxy/resp.py
+++ b/rushroad/proxy/resp.py
@@ -1,15 +1,15 @@
-"""A bounded reader of RESP2, for clients' commands and endpoints' responses, and a writer of commands.
+"""A RESP2 reader with bounded memory, for clients' commands and endpoints' responses, and an encoder.
 
-A library's reader makes room for whatever length is announced, before the bytes have come. This one checks
-each type, count and length as soon as its line is whole, so that no peer makes the gateway hold more than
-one message.
+RESP libraries allocate memory for a declared length before the data has arrived. This reader checks each
+type, count and length as soon as its line is complete, so that no peer makes the gateway buffer more than one
+message.
 """
 
 from __future__ import annotations
 
 MAX_VALUE_BYTES = 64 * 1024  # of one string
-MAX_MESSAGE_BYTES = MAX_VALUE_BYTES + 4 * 1024  # of all strings of a message: one value and what goes with it
-MAX_HEADER_BYTES = 16  # of the line of a count or a length
+MAX_MESSAGE_BYTES = MAX_VALUE_BYTES + 4 * 1024  # of all strings of a message: one value and shorter strings
+MAX_HEADER_BYTES = 16  # of a line with a count or a length
 MAX_LINE_BYTES = 512  # of an error line
 BULK_STRING, ARRAY, ERROR = b"$", b"*", b"-"
 NULL_BULK_STRING, NULL_ARRAY = b"$-1", b"*-1"
@@ -17,94 +17,94 @@
 
 
 class ProtocolError(ValueError):
-    """The bytes are no message, or none that may come here; where the next one begins can't be known.
+    """The data is not a valid message, so the start of the next message is unknown.
 
-    The text says what is wrong. Clients are sent it.
+    The text describes the error and is sent to clients.
     """
 
 
 def encode_array(items: list[bytes]) -> bytes:
-    """Encode a command, or any array of strings."""
+    """Encode an array of strings, such as a command."""
     return b"*%d\r\n%b" % (len(items), b"".join([b"$%d\r\n%b\r\n" % (len(item), item) for item in items]))
 
 
 class Reader:
-    """Reads flat arrays of strings; of responses also error lines, and items that are no strings.
+    """Reads flat arrays of strings; in responses also error lines, and array items of other types.
 
-    An item that is whole but no string (null, a number, a line) is given as None.
+    An item that is not a string (null, a number, a line) is returned as None.
     """
 
     __slots__ = (
-        "_consumed_before",
+        "_consumed_before_data",
         "_data",
         "_items",
-        "_items_missing",
         "_max_items",
         "_message_bytes",
+        "_missing_items",
         "_position",
         "_reads_responses",
         "_string_length",
     )
 
     def __init__(self, max_items: int, responses: bool = False) -> None:
-        """Bound arrays to so many items. With `responses`, read an endpoint's responses, not commands."""
+        """Limit arrays to `max_items`. With `responses`, read an endpoint's responses, not commands."""
         self._max_items, self._reads_responses = max_items, responses
-        self._data, self._position = b"", 0  # bytes at hand, and how many of them have been read
-        self._consumed_before = 0  # bytes that were read before those at hand
+        self._data, self._position = b"", 0  # buffered bytes, and how many of them have been read
+        self._consumed_before_data = 0  # bytes that were read before the start of the buffer
         self._items: list[bytes | None] = []
-        self._items_missing = 0  # of the current array
+        self._missing_items = 0  # of the current array
         self._string_length = UNKNOWN_LENGTH  # of the current string
-        self._message_bytes = 0  # lengths announced so far in the current array
+        self._message_bytes = 0  # total length of the strings declared so far in the current array
 
     def feed(self, data: bytes) -> None:
-        """Take bytes that were received."""
-        self._consumed_before += self._position
+        """Add received data."""
+        self._consumed_before_data += self._position
         self._data = self._data[self._position :] + data if self._position < len(self._data) else data
         self._position = 0
 
     def at_message_boundary(self) -> bool:
-        """Return whether the last message is whole and nothing follows it."""
-        return self._position >= len(self._data) and not self._items_missing
+        """Return whether the last message is complete and no data follows it."""
+        return self._position >= len(self._data) and not self._missing_items
 
     @property
     def consumed_bytes(self) -> int:
-        """Bytes read since the first that came; after a message, the position of its end."""
-        return self._consumed_before + self._position
+        """Total number of bytes read; after a message, the position of its end in the stream."""
+        return self._consumed_before_data + self._position
 
     @property
     def unread_bytes(self) -> int:
-        """Bytes that have come and have not been read."""
+        """Number of bytes that have been received but not read."""
         return len(self._data) - self._position
 
     def next(self) -> list[bytes | None] | bytes | None:
-        """Return the next message: an array, or an error line without its first byte; None if none is whole.
+        """Return the next message: an array, or an error line without its type byte; None if incomplete.
 
-        Raises ProtocolError for bytes that are no message.
+        Raises ProtocolError for data that is not a valid message.
         """
-        if not self._items_missing:
+        if not self._missing_items:
             line = self._read_line(ARRAY + ERROR if self._reads_responses else ARRAY)
             if line is None:
                 return None
             if line[:1] == ERROR:
                 return line[1:]
-            self._items_missing = self._parse_number(line, self._max_items)
-            if not self._items_missing:
+            self._missing_items = self._parse_number(line, self._max_items)
+            if not self._missing_items:
                 raise ProtocolError("an array of nothing")
             self._items, self._message_bytes = [], 0
-        while self._items_missing:
+        while self._missing_items:
             if not self._read_item():
                 return None
-            self._items_missing -= 1
+            self._missing_items -= 1
         return self._items
 
     def _read_item(self) -> bool:
-        """Read one item of the current array; false until it is whole."""
+        """Read one item of the current array; returns False if it is incomplete."""
         if self._string_length < 0:
             line = self._read_line(b"$:+-*" if self._reads_responses and self._items else BULK_STRING)
             if line is None:
                 return False
             if line[:1] != BULK_STRING or line == NULL_BULK_STRING:
-                # Only a response's second and third items may be no string, and none may be an array.
+                # Only the second and third items of a response may be of another type, but not an array.
                 if not self._reads_responses or not self._items or (line[:1] == ARRAY and line != NULL_ARRAY):
                     raise ProtocolError("not a string")
                 self._items.append(None)
@@ -123,7 +123,7 @@
         return True
 
     def _read_line(self, types: bytes) -> bytes | None:
-        """Read a line that begins with one of these types; it is checked before its end has come."""
+        """Read a line that begins with one of these types, which is checked before the line is complete."""
         data, start = self._data, self._position
         if start >= len(data):
             return None
--- a/tests/proxy/test_resp.py
+++ b/tests/proxy/test_resp.py
@@ -1,27 +1,27 @@
-"""The reader of RESP: what it reads, and that it checks each length before it makes room for it."""
+"""The RESP reader: valid messages, and the check of each length before memory is allocated for it."""
 
 import pytest
 
 from rushroad.proxy.resp import MAX_LINE_BYTES, MAX_VALUE_BYTES, ProtocolError, Reader, encode_array
 
 
-def read(data: bytes, responses: bool, step: int) -> list[object]:
+def read(data: bytes, responses: bool, chunk_size: int) -> list[object]:
     reader = Reader(3, responses)
     messages: list[object] = []
-    for start in range(0, len(data), step):
-        reader.feed(data[start : start + step])
+    for start in range(0, len(data), chunk_size):
+        reader.feed(data[start : start + chunk_size])
         while (message := reader.next()) is not None:
             messages.append(message)
     assert reader.at_message_boundary()
     return messages
 
 
-@pytest.mark.parametrize("step", [1, 2, 7, 10_000])
-def test_messages_are_read_from_pieces_of_any_length(step: int) -> None:
-    words = [b"a\r\nb", b"", b"x" * 300]
-    assert read(encode_array(words) + encode_array([b"PING"]), False, step) == [words, [b"PING"]]
+@pytest.mark.parametrize("chunk_size", [1, 2, 7, 10_000])
+def test_messages_are_read_from_chunks_of_any_size(chunk_size: int) -> None:
+    items = [b"a\r\nb", b"", b"x" * 300]
+    assert read(encode_array(items) + encode_array([b"PING"]), False, chunk_size) == [items, [b"PING"]]
     response = b"*3\r\n$1\r\nv\r\n$-1\r\n*-1\r\n-BUSY\r\n*3\r\n$0\r\n\r\n:12\r\n+odd\r\n"
-    assert read(response, True, step) == [[b"v", None, None], b"BUSY", [b"", None, None]]
+    assert read(response, True, chunk_size) == [[b"v", None, None], b"BUSY", [b"", None, None]]
 
 
 @pytest.mark.parametrize("responses", [False, True])
@@ -51,10 +51,10 @@
         b"*1\r\n$1\r\nx\r\n*1000000000\r\n",
     ],
 )
-def test_malformed_message_raises_protocol_error_before_its_announced_bytes_come(
+def test_malformed_message_raises_protocol_error_before_its_declared_length_arrives(
     data: bytes, responses: bool
 ) -> None:
-    # A reader that waited for what is announced, or for the end of a line, would hold memory for it.
+    # A reader that waited for the declared length, or for the end of a line, would buffer that much data.
     reader = Reader(3, responses)
     reader.feed(data)
     with pytest.raises(ProtocolError):
@@ -62,7 +62,7 @@
             pass
 
 
-def test_error_line_that_reaches_its_maximum_without_an_end_raises_protocol_error() -> None:
+def test_error_line_that_reaches_its_maximum_length_without_an_end_raises_protocol_error() -> None:
     reader = Reader(3, responses=True)
     reader.feed(b"-" + b"x" * (MAX_LINE_BYTES - 2))
     assert reader.next() is None
