--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -94,7 +94,7 @@
     reloads = start_reloads(loop, discovery, counter)
     with suppress(TimeoutError):
         async with asyncio.timeout(FIRST_UPDATE_TIMEOUT_S):
-            await discovery.updated.wait()
+            await discovery.list_received.wait()
     await retry_transient(lambda: listener.listen(*configuration.listen))
     freeze_startup_objects()
 
--- a/rushroad/proxy/client_command.py
+++ b/rushroad/proxy/client_command.py
@@ -146,7 +146,7 @@
         deadline = b"d=%d" % max(1, time_remaining_us // 1_000)
         items = self.arguments[3].split(b",")
         options = b",".join([deadline if item.startswith(b"d=") else item for item in items])
-        return resp.pack([*self.arguments[:3], options, *self.arguments[4:]])
+        return resp.encode_array([*self.arguments[:3], options, *self.arguments[4:]])
 
     def succeed(self, value: bytes) -> None:
         """Answer with a rate server's value."""
--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -68,7 +68,7 @@
         self._reader.feed(data)
         if not self._blocked_by:
             self._process_commands()
-        elif self._reader.waiting > READ_AHEAD_BYTES:
+        elif self._reader.unread_bytes > READ_AHEAD_BYTES:
             self._pause_reading()
 
     def pause_writing(self) -> None:
@@ -115,7 +115,7 @@
             return
         if self._input_closed:
             return
-        self._update_timeout(processed, partial=arguments is None and not self._reader.empty())
+        self._update_timeout(processed, partial=arguments is None and not self._reader.at_message_boundary())
         if len(self.unanswered) >= MAX_UNANSWERED:
             self._block(BlockReason.PIPELINE_FULL)
         if any_invalid or processed >= MAX_COMMANDS_PER_BATCH:
@@ -125,7 +125,7 @@
 
     def _process_command(self, arguments: list[bytes]) -> bool:
         """Submit or answer one command; return False if it is invalid."""
-        command = ClientCommand(self, self._arrivals.arrival_of(self._reader.consumed))
+        command = ClientCommand(self, self._arrivals.arrival_of(self._reader.consumed_bytes))
         self.unanswered.append(command)
         self._table.mark_busy(self)
         try:
@@ -192,7 +192,7 @@
         Reading continues if a full pipeline is the only reason, in order to record when commands arrive.
         """
         self._blocked_by |= reason
-        if self._blocked_by & ~BlockReason.PIPELINE_FULL or self._reader.waiting > READ_AHEAD_BYTES:
+        if self._blocked_by & ~BlockReason.PIPELINE_FULL or self._reader.unread_bytes > READ_AHEAD_BYTES:
             self._pause_reading()
 
     def _unblock(self, reason: int) -> None:
@@ -229,7 +229,7 @@
         """
         if self.unanswered or self.ended_at is not None or self.transport.is_closing():
             return
-        command_coming = self._received_nothing or not self._reader.empty()
+        command_coming = self._received_nothing or not self._reader.at_message_boundary()
         if await_command and command_coming and not self._input_closed:
             return
         self._input_closed = True
@@ -253,7 +253,7 @@
             self._table.restart_timeout(self)
         elif answers_unread or self.ended_at is not None or self.transport.is_closing():
             self.abort()
-        elif self._reader.empty():
+        elif self._reader.at_message_boundary():
             self.close(await_command=False)
         else:
             self._refuse_input("the rest of the command did not come")
--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -16,7 +16,7 @@
 @pytest.fixture
 def no_settle_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """Allows connections to endpoints to be reused immediately after a response."""
-    monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME", 0.0)
+    monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME_S", 0.0)
 
 
 @pytest.fixture
