--- a/rushroad/simulator/__init__.py
+++ b/rushroad/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the deployment simulator and the decision policy."""
+"""Adapter that runs the decision policy under the deployment simulator."""
--- a/rushroad/simulator/action_records.py
+++ b/rushroad/simulator/action_records.py
@@ -1,6 +1,6 @@
-"""Action records, as the adapter sends them: codes, layouts, and their packing from the policy's actions.
+"""Codes and layouts of the action records that the adapter sends, and the encoding of policy actions.
 
-Spans are in microseconds. Codes bear the names that the wire gives the records.
+Durations are in microseconds. Codes are named after the records of the protocol.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 from rushroad.simulator.wire import endpoint_address
 
 U16_MAX, U32_MAX = 0xFFFF, 0xFFFFFFFF
-ALL_PEERS = U16_MAX  # recipient of a message to every peer
+ALL_PEERS = U16_MAX  # recipient that stands for every peer
 
 
 class ActionCode(IntEnum):
-    """Codes of the records that the adapter sends."""
+    """Action codes."""
 
     DEFER = 1
     HANG_UP = 2
@@ -51,12 +51,12 @@
 
 
 def _packer(code: ActionCode, fields: str) -> Callable[..., bytes]:
-    """Packs the instance and these fields into a record of this code."""
+    """Return a function that packs an instance and these fields into a record with this code."""
     return functools.partial(struct.Struct("<HI" + fields).pack, int(code))
 
 
 _pack_defer = _packer(ActionCode.DEFER, "II")  # delay, token
-_pack_add_to = _packer(ActionCode.ADD_TO, "QfI")  # name, amount, lifetime
+_pack_add_to = _packer(ActionCode.ADD_TO, "QfI")  # counter name, amount, lifetime
 _pack_forward = _packer(ActionCode.FORWARD, "I6sI")  # request id, endpoint, timeout
 _pack_not_now = _packer(ActionCode.NOT_NOW, "II")  # request id, retry after
 _pack_drop_request = _packer(ActionCode.DROP_REQUEST, "I")  # request id
@@ -117,10 +117,10 @@
 
 
 def _write_log(instance: int, action: WriteLog) -> bytes:
-    return _with_text(_pack_journal_line, instance, action.text)
+    return _pack_with_text(_pack_journal_line, instance, action.text)
 
 
-def _with_text(pack: Callable[..., bytes], instance: int, text: str) -> bytes:
+def _pack_with_text(pack: Callable[..., bytes], instance: int, text: str) -> bytes:
     data = text.encode()[:U16_MAX]
     return pack(instance, len(data)) + data
 
@@ -142,10 +142,10 @@
 
 
 def pack_action(instance: int, action: Action) -> bytes:
-    """The record for an action of an instance."""
+    """Encode an action of an instance as a record."""
     return _PACKERS[type(action)](instance, action)
 
 
 def pack_fault(instance: int, text: str) -> bytes:
-    """The record by which the adapter reports that the decision code of an instance has failed."""
-    return _with_text(_pack_fault, instance, text)
+    """Encode the record that reports an exception in the policy of an instance."""
+    return _pack_with_text(_pack_fault, instance, text)
--- a/rushroad/simulator/event_records.py
+++ b/rushroad/simulator/event_records.py
@@ -1,6 +1,6 @@
-"""Event records, as the simulator sends them: codes, layouts, and their reading into the policy's terms.
+"""Codes and layouts of the event records that the simulator sends, and their decoding to policy events.
 
-Spans are in microseconds. Codes and layouts bear the names that the wire gives the records.
+Durations are in microseconds. Codes and layouts are named after the records of the protocol.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
     TimerFired,
     UpdateKind,
 )
-from rushroad.simulator.wire import Reader, WireError, endpoint_name, result_of
+from rushroad.simulator.wire import FrameReader, ProtocolError, endpoint_name, result_from_status
 
-CLIENT_RETRY = 2  # bit of a request's options
+CLIENT_RETRY_FLAG = 2  # bit in the options of a SUBMIT record
 
 
 class EventCode(IntEnum):
-    """Codes of the records that the simulator sends."""
+    """Event codes."""
 
     BOOT = 1
     ESTABLISHED = 2
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class Boot:
-    """Start an instance."""
+    """Starts an instance."""
 
     instance: int
     seed: int
@@ -58,22 +58,22 @@
 
 @dataclass(slots=True)
 class Teardown:
-    """Forget an instance."""
+    """Removes an instance."""
 
     instance: int
 
 
 @dataclass(slots=True)
 class EndpointList:
-    """Entries that later Discovery records refer to by this number, until it is used again."""
+    """Endpoints that Discovery records refer to by list number; a later list may replace them."""
 
-    number: int
+    list_number: int
     endpoints: tuple[Endpoint, ...]
 
 
 @dataclass(slots=True)
 class Discovery:
-    """An endpoint update for an instance, with the number of the list that holds its entries."""
+    """An endpoint update for an instance; its endpoints are in the list with this number."""
 
     instance: int
     kind: UpdateKind
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True)
 class InstanceEvent:
-    """An event that an instance takes as it stands."""
+    """An event that is passed to the instance unchanged."""
 
     instance: int
     event: Event
@@ -91,55 +91,55 @@
 
 Record: TypeAlias = InstanceEvent | Discovery | EndpointList | Boot | Teardown
 
-_BOOT = struct.Struct("<IQI")
+_BOOT_LAYOUT = struct.Struct("<IQI")
 
 
-def _read_boot(reader: Reader) -> Boot:
-    instance, seed, length = reader.take(_BOOT)
-    return Boot(instance, seed, reader.take_bytes(length))
+def _read_boot(reader: FrameReader) -> Boot:
+    instance, seed, length = reader.read_fields(_BOOT_LAYOUT)
+    return Boot(instance, seed, reader.read_bytes(length))
 
 
-_TEARDOWN = struct.Struct("<I")
+_TEARDOWN_LAYOUT = struct.Struct("<I")
 
 
-def _read_teardown(reader: Reader) -> Teardown:
-    (instance,) = reader.take(_TEARDOWN)
+def _read_teardown(reader: FrameReader) -> Teardown:
+    (instance,) = reader.read_fields(_TEARDOWN_LAYOUT)
     return Teardown(instance)
 
 
-_ROSTER = struct.Struct("<HI")
+_ROSTER_LAYOUT = struct.Struct("<HI")
 
 
-def _read_roster(reader: Reader) -> EndpointList:
-    number, count = reader.take(_ROSTER)
-    return EndpointList(number, tuple([_read_roster_entry(reader) for _ in range(count)]))
+def _read_roster(reader: FrameReader) -> EndpointList:
+    list_number, count = reader.read_fields(_ROSTER_LAYOUT)
+    return EndpointList(list_number, tuple([_read_roster_entry(reader) for _ in range(count)]))
 
 
-_ROSTER_ENTRY = struct.Struct("<HBHB6sQf")
+_ROSTER_ENTRY_LAYOUT = struct.Struct("<HBHB6sQf")
 
 
-def _read_roster_entry(reader: Reader) -> Endpoint:
-    endpoint_class, zone, cell, state, address, started_at, weight = reader.take(_ROSTER_ENTRY)
+def _read_roster_entry(reader: FrameReader) -> Endpoint:
+    endpoint_class, zone, cell, state, address, started_at, weight = reader.read_fields(_ROSTER_ENTRY_LAYOUT)
     if state not in (EndpointState.REMOVED, EndpointState.READY, EndpointState.DRAINING):
-        raise WireError(f"unknown endpoint state {state}, expected 1, 2 or 3")
+        raise ProtocolError(f"unknown endpoint state {state}, expected 1, 2 or 3")
     name = endpoint_name(address)
     return Endpoint(name, EndpointState(state), endpoint_class, zone, cell, started_at, weight)
 
 
-_DISCOVERY = struct.Struct("<IHBQ")
+_DISCOVERY_LAYOUT = struct.Struct("<IHBQ")
 
 
-def _read_discovery(reader: Reader) -> Discovery:
-    instance, list_number, kind, version = reader.take(_DISCOVERY)
+def _read_discovery(reader: FrameReader) -> Discovery:
+    instance, list_number, kind, version = reader.read_fields(_DISCOVERY_LAYOUT)
     if kind > UpdateKind.FAILED:
-        raise WireError(f"unknown kind of endpoint update {kind}, expected 0 to 3")
+        raise ProtocolError(f"unknown endpoint update kind {kind}, expected 0 to 3")
     return Discovery(instance, UpdateKind(kind), version, list_number)
 
 
-_SUBMIT = struct.Struct("<IIfffIIBBQ")
+_SUBMIT_LAYOUT = struct.Struct("<IIfffIIBBQ")
 
 
-def _read_submit(reader: Reader) -> InstanceEvent:
+def _read_submit(reader: FrameReader) -> InstanceEvent:
     (
         instance,
         request_id,
@@ -151,7 +151,7 @@
         options,
         class_index,
         tenant,
-    ) = reader.take(_SUBMIT)
+    ) = reader.read_fields(_SUBMIT_LAYOUT)
     return InstanceEvent(
         instance,
         Request(
@@ -163,23 +163,23 @@
             time_remaining,
             int(entry_points),
             int(first_entry),
-            bool(options & CLIENT_RETRY),
+            bool(options & CLIENT_RETRY_FLAG),
         ),
     )
 
 
-_ESTABLISHED = struct.Struct("<III6sH")
+_ESTABLISHED_LAYOUT = struct.Struct("<III6sH")
 
 
-def _read_established(reader: Reader) -> InstanceEvent:
-    instance, request_id, elapsed, address, attempt = reader.take(_ESTABLISHED)
+def _read_established(reader: FrameReader) -> InstanceEvent:
+    instance, request_id, elapsed, address, attempt = reader.read_fields(_ESTABLISHED_LAYOUT)
     return InstanceEvent(instance, ResponseStarted(request_id, attempt, endpoint_name(address), elapsed))
 
 
-_COMPLETED = struct.Struct("<IIH6sHIBHH")
+_COMPLETED_LAYOUT = struct.Struct("<IIH6sHIBHH")
 
 
-def _read_completed(reader: Reader) -> InstanceEvent:
+def _read_completed(reader: FrameReader) -> InstanceEvent:
     (
         instance,
         request_id,
@@ -188,78 +188,80 @@
         status,
         elapsed,
         final,
-        use,  # 0 for none, or 1 + percent
-        actual_units,  # 0 for none
-    ) = reader.take(_COMPLETED)
+        encoded_used_percent,  # 0: absent; otherwise 1 + percent
+        actual_units,  # 0: absent
+    ) = reader.read_fields(_COMPLETED_LAYOUT)
     return InstanceEvent(
         instance,
         AttemptOutcome(
             request_id,
             attempt,
             endpoint_name(address),
-            result_of(status),
+            result_from_status(status),
             elapsed,
             bool(final),
-            use - 1 if use else None,
+            encoded_used_percent - 1 if encoded_used_percent else None,
             float(actual_units) if actual_units else None,
             _read_load_report(reader),
         ),
     )
 
 
-_EXPIRED = struct.Struct("<II")
+_EXPIRED_LAYOUT = struct.Struct("<II")
 
 
-def _read_expired(reader: Reader) -> InstanceEvent:
-    instance, request_id = reader.take(_EXPIRED)
+def _read_expired(reader: FrameReader) -> InstanceEvent:
+    instance, request_id = reader.read_fields(_EXPIRED_LAYOUT)
     return InstanceEvent(instance, ClientDisconnected(request_id))
 
 
-_BELL = struct.Struct("<II")
+_BELL_LAYOUT = struct.Struct("<II")
 
 
-def _read_bell(reader: Reader) -> InstanceEvent:
-    instance, token = reader.take(_BELL)
+def _read_bell(reader: FrameReader) -> InstanceEvent:
+    instance, token = reader.read_fields(_BELL_LAYOUT)
     return InstanceEvent(instance, TimerFired(token))
 
 
-_HEALTH = struct.Struct("<II6sH")
+_HEALTH_LAYOUT = struct.Struct("<II6sH")
 
 
-def _read_health(reader: Reader) -> InstanceEvent:
-    instance, elapsed, address, status = reader.take(_HEALTH)
-    name, result = endpoint_name(address), result_of(status)
+def _read_health(reader: FrameReader) -> InstanceEvent:
+    instance, elapsed, address, status = reader.read_fields(_HEALTH_LAYOUT)
+    name, result = endpoint_name(address), result_from_status(status)
     return InstanceEvent(instance, HealthCheckReply(name, result, elapsed, _read_load_report(reader)))
 
 
-_NEIGHBOUR_SAYS = struct.Struct("<IHH")
+_NEIGHBOUR_SAYS_LAYOUT = struct.Struct("<IHH")
 
 
-def _read_neighbour_says(reader: Reader) -> InstanceEvent:
-    instance, sender, length = reader.take(_NEIGHBOUR_SAYS)
-    return InstanceEvent(instance, PeerMessage(sender, reader.take_bytes(length)))
+def _read_neighbour_says(reader: FrameReader) -> InstanceEvent:
+    instance, sender, length = reader.read_fields(_NEIGHBOUR_SAYS_LAYOUT)
+    return InstanceEvent(instance, PeerMessage(sender, reader.read_bytes(length)))
 
 
-_COUNTER_REPLY = struct.Struct("<IHIfQ")
+_COUNTER_REPLY_LAYOUT = struct.Struct("<IHIfQ")
 
 
-def _read_counter_reply(reader: Reader) -> InstanceEvent:
-    instance, status, elapsed, total, name = reader.take(_COUNTER_REPLY)
-    return InstanceEvent(instance, CounterReply(name, result_of(status), elapsed, total))
+def _read_counter_reply(reader: FrameReader) -> InstanceEvent:
+    instance, status, elapsed, total, name = reader.read_fields(_COUNTER_REPLY_LAYOUT)
+    return InstanceEvent(instance, CounterReply(name, result_from_status(status), elapsed, total))
 
 
-_COUNT = struct.Struct("<B")
-_LOAD_REPORTS = tuple(struct.Struct(f"<{count}f") for count in range(5))
+_LOAD_REPORT_LENGTH_LAYOUT = struct.Struct("<B")
+_LOAD_REPORT_LAYOUTS = tuple(struct.Struct(f"<{count}f") for count in range(5))
 
 
-def _read_load_report(reader: Reader) -> tuple[float, ...]:
-    (count,) = reader.take(_COUNT)
+def _read_load_report(reader: FrameReader) -> tuple[float, ...]:
+    (count,) = reader.read_fields(_LOAD_REPORT_LENGTH_LAYOUT)
     if not count:
         return ()
-    return reader.take(_LOAD_REPORTS[count] if count < len(_LOAD_REPORTS) else struct.Struct(f"<{count}f"))
+    return reader.read_fields(
+        _LOAD_REPORT_LAYOUTS[count] if count < len(_LOAD_REPORT_LAYOUTS) else struct.Struct(f"<{count}f")
+    )
 
 
-_READERS: dict[int, Callable[[Reader], Record]] = {
+_READERS: dict[int, Callable[[FrameReader], Record]] = {
     EventCode.BOOT: _read_boot,
     EventCode.ESTABLISHED: _read_established,
     EventCode.DISCOVERY: _read_discovery,
@@ -274,13 +276,13 @@
     EventCode.COMPLETED: _read_completed,
 }
 
-_CODE = struct.Struct("<H")
+_CODE_LAYOUT = struct.Struct("<H")
 
 
-def read_record(reader: Reader) -> Record:
-    """The next event record; raises WireError where it is malformed."""
-    (code,) = reader.take(_CODE)
+def read_record(reader: FrameReader) -> Record:
+    """Read the next event record; raises ProtocolError if it is malformed."""
+    (code,) = reader.read_fields(_CODE_LAYOUT)
     read = _READERS.get(code)
     if read is None:
-        raise WireError(f"unknown event code {code}")
+        raise ProtocolError(f"unknown event code {code}")
     return read(reader)
--- a/rushroad/simulator/wire.py
+++ b/rushroad/simulator/wire.py
@@ -1,6 +1,7 @@
-"""The simulator's binary wire: frames, the reader of their fields, addresses and status codes.
+"""The simulator's binary protocol: frames, addresses and status codes.
 
-All fields are little-endian without padding. `event_records` and `action_records` hold the records in frames.
+All fields are little-endian without padding. The records inside the frames are defined in `event_records`
+and `action_records`.
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 from rushroad.policy.events import Result
 
 
-class WireError(Exception):
-    """The input breaks the wire's rules; the message says what was expected or wrong, and where."""
+class ProtocolError(Exception):
+    """The input violates the protocol; the message says how and where."""
 
 
 RESULT_BY_STATUS = {
@@ -27,50 +28,50 @@
 }
 
 
-def result_of(status: int) -> Result:
-    """The result for a status code; raises WireError where it is unknown."""
+def result_from_status(status: int) -> Result:
+    """Return the result for a status code; raises ProtocolError if it is unknown."""
     try:
         return RESULT_BY_STATUS[status]
     except KeyError:
-        raise WireError(f"unknown status {status}") from None
+        raise ProtocolError(f"unknown status {status}") from None
 
 
-_ADDRESS = struct.Struct("<4BH")  # IPv4 address, its first byte first, and port
+_ADDRESS_LAYOUT = struct.Struct("<4BH")  # IPv4 address in network byte order, and port
 
 
 def endpoint_name(address: bytes) -> str:
-    """The policy's name for an endpoint, `a.b.c.d:port`, by the 6 bytes of its address."""
-    byte0, byte1, byte2, byte3, port = _ADDRESS.unpack(address)
+    """Convert a 6-byte address to the endpoint name that the policy uses, `a.b.c.d:port`."""
+    byte0, byte1, byte2, byte3, port = _ADDRESS_LAYOUT.unpack(address)
     return f"{byte0}.{byte1}.{byte2}.{byte3}:{port}"
 
 
 def endpoint_address(name: str) -> bytes:
-    """The 6 bytes of the address that `endpoint_name` was given."""
+    """Convert an endpoint name to its 6-byte address; the inverse of `endpoint_name`."""
     host, _, port = name.partition(":")
     byte0, byte1, byte2, byte3 = host.split(".")
-    return _ADDRESS.pack(int(byte0), int(byte1), int(byte2), int(byte3), int(port))
+    return _ADDRESS_LAYOUT.pack(int(byte0), int(byte1), int(byte2), int(byte3), int(port))
 
 
 class BatchHeader(NamedTuple):
     """The header of a batch of events."""
 
-    length: int  # bytes of the records after the header
+    length: int  # bytes after the header
     record_count: int
-    now: int  # the simulator's clock
+    now: int  # simulator time in microseconds
 
 
 BATCH_HEADER_LAYOUT = struct.Struct("<IIQ")
-_REPLY_HEADER = struct.Struct("<II")  # number of records; bytes after the header
+_REPLY_HEADER_LAYOUT = struct.Struct("<II")  # number of records, bytes after the header
 
 
 def pack_reply(records: list[bytes]) -> bytes:
-    """The frame that answers a batch with these action records."""
+    """Build the reply frame of a batch from its action records."""
     payload = b"".join(records)
-    return _REPLY_HEADER.pack(len(records), len(payload)) + payload
+    return _REPLY_HEADER_LAYOUT.pack(len(records), len(payload)) + payload
 
 
-class Reader:
-    """Takes fields off a frame. Raises WireError where it ends too early."""
+class FrameReader:
+    """Reads the fields of a frame in order; raises ProtocolError if the frame ends too early."""
 
     __slots__ = ("_data", "position")
 
@@ -78,20 +79,20 @@
         self._data = data
         self.position = 0
 
-    def take(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """The next fields, of this layout."""
+    def read_fields(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """Read the next fields, which have this layout."""
         try:
             values = layout.unpack_from(self._data, self.position)
         except struct.error:
-            raise WireError(f"frame ends inside a record, at byte {self.position}") from None
+            raise ProtocolError(f"frame ends inside a record, at byte {self.position}") from None
         self.position += layout.size
         return values
 
-    def take_bytes(self, count: int) -> bytes:
-        """The next `count` bytes."""
+    def read_bytes(self, count: int) -> bytes:
+        """Read the next `count` bytes."""
         end = self.position + count
         if end > len(self._data):
-            raise WireError(f"frame ends inside a record, at byte {self.position}")
+            raise ProtocolError(f"frame ends inside a record, at byte {self.position}")
         data = self._data[self.position : end]
         self.position = end
         return data
--- a/tests/simulator/test_action_records.py
+++ b/tests/simulator/test_action_records.py
@@ -1,4 +1,4 @@
-"""Action records as the simulator reads them."""
+"""Encoding of actions and faults."""
 
 import struct
 
@@ -47,9 +47,9 @@
         (WriteLog("x" * 70_000), struct.pack("<HIH", 13, 3, 0xFFFF) + b"x" * 0xFFFF),
     ],
 )
-def test_action_is_packed_as_the_wire_gives_it(action: Action, record: bytes) -> None:
+def test_action_is_encoded_in_its_layout(action: Action, record: bytes) -> None:
     assert pack_action(3, action) == record
 
 
-def test_fault_is_packed_with_its_text() -> None:
+def test_fault_is_encoded_with_its_text() -> None:
     assert pack_fault(3, "ValueError: ä") == struct.pack("<HIH", 8, 3, 14) + "ValueError: ä".encode()
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: batches in, replies out, and its end at malformed input."""
+"""Replies of the adapter to batches, and its exit status on malformed input."""
 
 import io
 import json
@@ -40,53 +40,55 @@
     return struct.pack("<HIIfffIIBBQ", 8, INSTANCE, 7, 0.0, 2.0, 1.0, 0, 400_000, 0, 0, 555)
 
 
-def play(*frames: bytes) -> bytes:
-    """All replies to these batches."""
-    sink = io.BytesIO()
-    adapter.run(io.BytesIO(b"".join(frames)), sink)
-    return sink.getvalue()
+def run_adapter(*frames: bytes) -> bytes:
+    """Return all replies to these batches."""
+    output = io.BytesIO()
+    adapter.run(io.BytesIO(b"".join(frames)), output)
+    return output.getvalue()
 
 
 def test_empty_batch_gets_an_empty_reply() -> None:
-    assert play(bytes.fromhex("00000000 00000000 5a5c800000000000")) == bytes(8)
+    assert run_adapter(bytes.fromhex("00000000 00000000 5a5c800000000000")) == bytes(8)
 
 
-def test_request_is_added_to_the_counter_and_forwarded_after_the_reply() -> None:
+def test_request_is_counted_and_forwarded_after_the_counter_reply() -> None:
     batches = [frame(boot(), roster(), discovery()), frame(submit())]
-    replies = play(*batches)
+    replies = run_adapter(*batches)
     count, length = struct.unpack_from("<II", replies, REPLY_HEADER)
     assert count == 1
     code, instance, name, amount, _ = struct.unpack_from("<HIQfI", replies, 2 * REPLY_HEADER)
     assert (code, instance, amount) == (4, INSTANCE, 1.0)
     assert length == 22
     counter_reply = struct.pack("<HIHIfQ", 10, INSTANCE, 200, 900, 1.0, name)
-    reply = play(*batches, frame(counter_reply))[len(replies) :]
+    reply = run_adapter(*batches, frame(counter_reply))[len(replies) :]
     code, instance, request, address, _ = struct.unpack_from("<HII6sI", reply, len(reply) - 20)
     assert (code, instance, request, address) == (10, INSTANCE, 7, ADDRESS)
 
 
-def test_teardown_and_boot_in_one_batch_start_the_instance_anew() -> None:
+def test_teardown_and_boot_in_one_batch_restart_the_instance() -> None:
     teardown = struct.pack("<HI", 9, INSTANCE)
     batches = [frame(boot(), roster(), discovery()), frame(teardown, boot(), discovery())]
-    assert play(*batches) == 2 * bytes(REPLY_HEADER)
+    assert run_adapter(*batches) == 2 * bytes(REPLY_HEADER)
 
 
-def test_exception_of_the_policy_becomes_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    def explode(*_: object) -> None:
-        raise ValueError("boom")
+def test_exception_in_the_policy_is_reported_as_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_error(*_: object) -> None:
+        raise ValueError("policy failed")
 
-    monkeypatch.setattr("rushroad.policy.gateway.Gateway.handle", explode)
-    reply = play(frame(boot(), roster(), discovery()))
+    monkeypatch.setattr("rushroad.policy.gateway.Gateway.handle", raise_error)
+    reply = run_adapter(frame(boot(), roster(), discovery()))
     assert struct.unpack_from("<HI", reply, REPLY_HEADER) == (8, INSTANCE)
-    assert reply.endswith(b"ValueError: boom")
+    assert reply.endswith(b"ValueError: policy failed")
 
 
-def test_actions_before_one_that_cannot_be_packed_stay_in_the_reply(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_actions_before_one_that_cannot_be_encoded_are_kept_in_the_reply(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     def handle(*_: object) -> list[Action]:
-        return [FetchEndpoints(), WatchEndpoints("no flag")]  # type: ignore[arg-type]
+        return [FetchEndpoints(), WatchEndpoints("not a bool")]  # type: ignore[arg-type]
 
     monkeypatch.setattr("rushroad.policy.gateway.Gateway.handle", handle)
-    reply = play(frame(boot(), roster(), discovery()))
+    reply = run_adapter(frame(boot(), roster(), discovery()))
     assert struct.unpack_from("<I", reply) == (2,)
     assert struct.unpack_from("<HIH", reply, REPLY_HEADER) == (11, INSTANCE, 8)
     assert b"error: " in reply
@@ -99,15 +101,15 @@
         (frame(boot())[:9], "inside a header"),
         (struct.pack("<IIQ", 3, 1, NOW) + b"\x08\x00\x01", "ends inside a record"),
         (frame(struct.pack("<HI", 77, INSTANCE)), "unknown event code 77"),
-        (frame(submit() + b"\x00"), "event code 8 at byte 0: instance 3 was never started"),
-        (frame(boot(), discovery()), "roster 0 was never sent"),
+        (frame(submit() + b"\x00"), "event code 8 at byte 0: unknown instance 3"),
+        (frame(boot(), discovery()), "unknown roster 0"),
         (frame(boot() + b"\x00\x00"), "left after the last record"),
-        (frame(boot(settings=b"{nope")), "event code 1 at byte 0: settings are not JSON"),
+        (frame(boot(settings=b"{truncated")), "event code 1 at byte 0: settings are not valid JSON"),
         (frame(boot(settings=b"{}")), "limits"),
         (frame(boot(settings=b"[]")), "wrong type"),
     ],
 )
-def test_malformed_input_gives_one_line_and_a_non_zero_exit(data: bytes, text: str) -> None:
+def test_malformed_input_prints_one_line_and_exits_with_1(data: bytes, text: str) -> None:
     command = [sys.executable, "-m", "rushroad.simulator"]
     done = subprocess.run(command, input=data, capture_output=True, timeout=60)
     assert done.returncode == 1
--- a/tests/simulator/test_event_records.py
+++ b/tests/simulator/test_event_records.py
@@ -1,4 +1,4 @@
-"""Event records as the simulator packs them."""
+"""Decoding of event records."""
 
 import struct
 
@@ -27,7 +27,7 @@
     Teardown,
     read_record,
 )
-from rushroad.simulator.wire import Reader, WireError
+from rushroad.simulator.wire import FrameReader, ProtocolError
 
 ADDRESS, NAME = bytes([10, 18, 74, 7]) + struct.pack("<H", 5003), "10.18.74.7:5003"
 
@@ -80,15 +80,15 @@
         ),
     ],
 )
-def test_record_is_read_whole(data: bytes, record: Record) -> None:
-    reader = Reader(data)
+def test_record_is_decoded_to_its_last_byte(data: bytes, record: Record) -> None:
+    reader = FrameReader(data)
     assert read_record(reader) == record
     assert reader.position == len(data)
 
 
-def test_the_attempt_outcome_of_the_wire_page_is_read() -> None:
+def test_completed_record_of_the_protocol_page_is_decoded() -> None:
     data = bytes.fromhex("0c0003000000c4913a5d00000a124a078b13c80044480000015600030002000040400000e040")
-    record = read_record(Reader(data))
+    record = read_record(FrameReader(data))
     assert isinstance(record, InstanceEvent)
     assert record.instance == 3
     assert repr(record.event) == (
@@ -108,10 +108,10 @@
             struct.pack("<HHI", 7, 0, 1) + struct.pack("<HBHB6sQf", 0, 0, 0, 4, ADDRESS, 0, 1.0),
             "unknown endpoint state 4, expected 1, 2 or 3",
         ),
-        (struct.pack("<HIHBQ", 3, 3, 0, 4, 41), "unknown kind of endpoint update 4, expected 0 to 3"),
+        (struct.pack("<HIHBQ", 3, 3, 0, 4, 41), "unknown endpoint update kind 4, expected 0 to 3"),
         (struct.pack("<HIHIfQ", 10, 3, 404, 900, 0.5, 1), "unknown status 404"),
     ],
 )
-def test_malformed_record_is_an_error_that_says_what_was_expected(data: bytes, text: str) -> None:
-    with pytest.raises(WireError, match=text):
-        read_record(Reader(data))
+def test_malformed_record_is_rejected_with_the_reason(data: bytes, text: str) -> None:
+    with pytest.raises(ProtocolError, match=text):
+        read_record(FrameReader(data))
