--- a/rushroad/bench/options.py
+++ b/rushroad/bench/options.py
@@ -42,7 +42,7 @@
     return numbers
 
 
-def append_to(run: Run, out: Path) -> None:
+def append_results(run: Run, out: Path) -> None:
     """Print the run's table, and add its record to the file."""
     with out.open("a") as file:
-        run.finish(file)
+        run.write_results(file)
--- a/rushroad/bench/real/runs.py
+++ b/rushroad/bench/real/runs.py
@@ -10,7 +10,7 @@
 
 from msgspec import structs
 
-from rushroad.bench.options import append_to
+from rushroad.bench.options import append_results
 from rushroad.bench.real.measurements import measure_cost
 from rushroad.bench.real.rows import ChangesRow
 from rushroad.bench.real.scene import Scene, log
@@ -31,11 +31,11 @@
 def add_measured(run: Run, condition: ConditionRow, measure: Callable[[], Row]) -> None:
     """Add a measured row, or an error row where it could not be measured."""
     try:
-        run.add(measure())
+        run.add_row(measure())
     except (RuntimeError, OSError) as error:
         log.error("not measured", error=str(error), **condition.columns())
         message = str(error)[:MAX_ERROR_CHARACTERS]
-        run.add(ErrorRow(**structs.asdict(condition), error=message))
+        run.add_row(ErrorRow(**structs.asdict(condition), error=message))
         return
     log.info("measured", **run.rows[-1].columns())
 
@@ -57,15 +57,15 @@
     for y in ys:
         points = [(float(row[x]), float(row[y])) for row in rows if y in row and not row.get("lost")]
         if len({at for at, _ in points}) > 1:
-            run.add(fit_row(f"{y} by {x}", points))
+            run.add_row(fit_row(f"{y} by {x}", points))
 
 
 def finish(run: Run, out: Path | None) -> None:
     """Print the table, and the record behind it or to the file; exit with 1 where a row has failed."""
     if out is None:
-        run.finish(sys.stdout)
+        run.write_results(sys.stdout)
     else:
-        append_to(run, out)
+        append_results(run, out)
     if any(map(_has_failed, run.rows)):
         raise SystemExit(1)
 
--- a/rushroad/bench/report.py
+++ b/rushroad/bench/report.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from rushroad.bench.rows import Cell, FitRow, Row
+from rushroad.bench.rows import ColumnValue, FitRow, Row
 
 GIT_TIMEOUT_S = 10
 SIGNIFICANT_DIGITS = 4  # of a figure in the table; the line of JSON holds all of them
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fit:
+class LinearFit:
     """A straight line through points by least squares; `r2` is the part of the variance that it explains."""
 
     slope: float
@@ -29,7 +29,7 @@
     r2: float
 
 
-def fit(points: Sequence[tuple[float, float]]) -> Fit:
+def fit_line(points: Sequence[tuple[float, float]]) -> LinearFit:
     """Fit a line through two or more points (x, y); raises ValueError unless two of their x differ."""
     xs, ys = [x for x, _ in points], [y for _, y in points]
     try:
@@ -39,12 +39,12 @@
     mean = statistics.fmean(ys)
     total = sum((y - mean) ** 2 for y in ys)
     residual = sum((y - intercept - slope * x) ** 2 for x, y in points)
-    return Fit(slope, intercept, 1.0 - residual / total if total else 1.0)
+    return LinearFit(slope, intercept, 1.0 - residual / total if total else 1.0)
 
 
 def fit_row(label: str, points: Sequence[tuple[float, float]]) -> FitRow:
-    """The row of the line through these points; raises ValueError as `fit` does."""
-    line = fit(points)
+    """The row of the line through these points; raises ValueError as `fit_line` does."""
+    line = fit_line(points)
     return FitRow(fit=label, slope=line.slope, intercept=line.intercept, r2=line.r2)
 
 
@@ -75,11 +75,11 @@
         self.rows: list[Row] = []
         self._machine = machine()  # with the load before this run's own
 
-    def add(self, row: Row) -> None:
+    def add_row(self, row: Row) -> None:
         """Keep a row; rows of one run may have different columns."""
         self.rows.append(row)
 
-    def finish(self, out: TextIO | None) -> None:
+    def write_results(self, out: TextIO | None) -> None:
         """Print the table to standard output, and write the line of JSON to `out`."""
         print(f"{self.experiment}, seed {self.seed}")
         print(table([row.columns() for row in self.rows]))
@@ -99,22 +99,23 @@
         )
 
 
-def table(rows: Sequence[dict[str, Cell]]) -> str:
+def table(rows: Sequence[dict[str, ColumnValue]]) -> str:
     """Lines of aligned columns, named by the rows' keys in the order in which they first occur."""
     names = list(dict.fromkeys(name for row in rows for name in row))
-    lines = [names] + [[_format_cell(row.get(name, "")) for name in names] for row in rows]
+    lines = [names] + [[_format_value(row.get(name, "")) for name in names] for row in rows]
     widths = [max(len(line[column]) for line in lines) for column in range(len(names))]
     return "\n".join(
-        COLUMN_GAP.join(cell.rjust(width) for cell, width in zip(line, widths, strict=True)) for line in lines
+        COLUMN_GAP.join(value.rjust(width) for value, width in zip(line, widths, strict=True))
+        for line in lines
     )
 
 
-def _format_cell(cell: Cell) -> str:
-    if isinstance(cell, str):
-        return cell
-    if isinstance(cell, float) and abs(cell) < 10**SIGNIFICANT_DIGITS:
-        return f"{cell:.{SIGNIFICANT_DIGITS}g}"
-    return f"{cell:,.0f}"
+def _format_value(value: ColumnValue) -> str:
+    if isinstance(value, str):
+        return value
+    if isinstance(value, float) and abs(value) < 10**SIGNIFICANT_DIGITS:
+        return f"{value:.{SIGNIFICANT_DIGITS}g}"
+    return f"{value:,.0f}"
 
 
 def commit() -> str:
@@ -127,10 +128,10 @@
 
 
 def _git(*arguments: str) -> str:
-    done = subprocess.run(
+    completed = subprocess.run(
         ("git", *arguments), capture_output=True, text=True, timeout=GIT_TIMEOUT_S, check=True
     )
-    return done.stdout.strip()
+    return completed.stdout.strip()
 
 
 def machine() -> Machine:
--- a/rushroad/bench/rows.py
+++ b/rushroad/bench/rows.py
@@ -7,15 +7,15 @@
 import msgspec
 from msgspec import UNSET, UnsetType
 
-Cell: TypeAlias = float | int | str
+ColumnValue: TypeAlias = float | int | str
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """One row of a table. A field that is UNSET has no column in this row."""
 
-    def columns(self) -> dict[str, Cell]:
+    def columns(self) -> dict[str, ColumnValue]:
         """The row's cells by the names of their columns, in the order of the fields."""
-        return cast(dict[str, Cell], msgspec.to_builtins(self))
+        return cast(dict[str, ColumnValue], msgspec.to_builtins(self))
 
 
 class FitRow(Row, frozen=True, kw_only=True):
--- a/rushroad/bench/simulated/cold_fleet.py
+++ b/rushroad/bench/simulated/cold_fleet.py
@@ -58,9 +58,9 @@
         results = [_run_trial(size, max_gateways, seed + trial) for trial in range(trials)]
         safety = FLEET_SETTINGS.safety
         for window in range(safety.warm_up_time // safety.overload_window):  # the whole ones
-            run.add(_window_row(size, window, results))
+            run.add_row(_window_row(size, window, results))
         gateways_of = gateways_of_endpoint(_with_one_more(size))
-        run.add(
+        run.add_row(
             WarmUpTotalRow(
                 size=str(size),
                 trials=trials,
--- a/rushroad/bench/simulated/commands.py
+++ b/rushroad/bench/simulated/commands.py
@@ -6,7 +6,7 @@
 
 import click
 
-from rushroad.bench.options import append_to, out_option, parse_sizes, seed_option, sizes_option
+from rushroad.bench.options import append_results, out_option, parse_sizes, seed_option, sizes_option
 from rushroad.bench.report import Run
 from rushroad.bench.simulated.cold_fleet import cold_fleet
 from rushroad.bench.simulated.module_cost import module_cost
@@ -31,9 +31,9 @@
 def _finish(run: Run, out: Path | None) -> None:
     """Print the table, and add the record to the file if there is one."""
     if out is None:
-        run.finish(None)
+        run.write_results(None)
     else:
-        append_to(run, out)
+        append_results(run, out)
 
 
 @click.command("module-cost")
--- a/rushroad/bench/simulated/module_cost.py
+++ b/rushroad/bench/simulated/module_cost.py
@@ -76,7 +76,7 @@
         examined = _count_examined(size, seed, min(MAX_REQUESTS_EXAMINED, request_cost.requests))
         change_cost, list_cost = _measure_changes(fleet), _measure_list(size)
         points.append((float(size.rate_servers), request_cost.us_request))
-        run.add(
+        run.add_row(
             ModuleCostRow(
                 gateways=size.gateways,
                 servers=size.rate_servers,
@@ -91,7 +91,7 @@
             )
         )
     if len({servers for servers, _ in points}) > 1:
-        run.add(fit_row("us_request by servers", points))
+        run.add_row(fit_row("us_request by servers", points))
     return run
 
 
--- a/rushroad/bench/simulated/restart_tenth.py
+++ b/rushroad/bench/simulated/restart_tenth.py
@@ -59,7 +59,7 @@
             _Phase("after", back + 2, fleet.simulation.second),
         )
         for phase in phases:
-            run.add(_phase_row(fleet, restarted, phase))
+            run.add_row(_phase_row(fleet, restarted, phase))
     return run
 
 
--- a/rushroad/bench/simulated/spread.py
+++ b/rushroad/bench/simulated/spread.py
@@ -45,7 +45,7 @@
     """Compute the subsets of whole fleets, and what changes in them; no gateway is simulated."""
     run = Run("spread", seed, {"sizes": [str(size) for size in sizes]})
     for size in sizes:
-        run.add(_spread_row(size))
+        run.add_row(_spread_row(size))
     return run
 
 
--- a/rushroad/bench/simulated/zone_lost.py
+++ b/rushroad/bench/simulated/zone_lost.py
@@ -59,7 +59,7 @@
             scenario = _scenario(size, number, max_gateways, seed)
             _lose_zone(scenario)
             for row in _rows(scenario):
-                run.add(row)
+                run.add_row(row)
     return run
 
 
--- a/tests/bench/real/test_runs.py
+++ b/tests/bench/real/test_runs.py
@@ -44,13 +44,13 @@
 def test_a_run_whose_rows_are_all_measured_ends_without_an_exit(
     run: Run, changes_row: ChangesRow, tmp_path: Path
 ) -> None:
-    run.add(changes_row)
+    run.add_row(changes_row)
     finish(run, tmp_path / "out.jsonl")
     assert len((tmp_path / "out.jsonl").read_text().splitlines()) == 1
 
 
 def test_a_late_attempt_makes_the_exit_code_1(run: Run, changes_row: ChangesRow, tmp_path: Path) -> None:
-    run.add(structs.replace(changes_row, late_attempts=1))
+    run.add_row(structs.replace(changes_row, late_attempts=1))
     with pytest.raises(SystemExit, match="1"):
         finish(run, tmp_path / "out.jsonl")
 
@@ -65,7 +65,7 @@
 
 def test_rows_with_lost_requests_are_no_points_of_a_line(run: Run, changes_row: ChangesRow) -> None:
     for servers, peak_mb, lost in ((60, 1.0, 0), (80, 9.0, 3), (100, 3.0, 0)):
-        run.add(structs.replace(changes_row, servers=servers, peak_mb=peak_mb, lost=lost))
+        run.add_row(structs.replace(changes_row, servers=servers, peak_mb=peak_mb, lost=lost))
     add_fits(run, "servers", ["peak_mb"])
     (line,) = rows_of(run, FitRow)
     assert line.fit == "peak_mb by servers"
