--- a/rushroad/bench/__init__.py
+++ b/rushroad/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments that measure rushroad's gateways at the planned fleet size, real and simulated."""
+"""Benchmarks of real and simulated rushroad gateways, up to the planned fleet size."""
--- a/rushroad/bench/__main__.py
+++ b/rushroad/bench/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m rushroad.bench COMMAND`, the same as the script `rushroad-bench`."""
+"""Runs the command `rushroad-bench` as a module: `python -m rushroad.bench COMMAND`."""
 
 from rushroad.bench.cli import main
 
--- a/rushroad/bench/cli.py
+++ b/rushroad/bench/cli.py
@@ -1,4 +1,4 @@
-"""The command `rushroad-bench`: one subcommand an experiment."""
+"""The command `rushroad-bench`, with one subcommand per experiment."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 @click.group()
 @click.version_option(package_name="rushroad")
 def main() -> None:
-    """Measure rushroad's gateways against stand-ins on loopback, and whole fleets of simulated ones."""
+    """Measure real gateways against stand-ins on loopback, and simulated fleets."""
 
 
 for command in (*SIMULATED_COMMANDS, *REAL_COMMANDS):
--- a/rushroad/bench/report.py
+++ b/rushroad/bench/report.py
@@ -1,4 +1,4 @@
-"""What every experiment returns: a table for people, and one line of JSON from which it can be repeated."""
+"""Results of a run: a printed table, and a JSON record with everything that is needed to repeat the run."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from rushroad.bench.rows import ColumnValue, FitRow, Row
 
 GIT_TIMEOUT_S = 10
-SIGNIFICANT_DIGITS = 4  # of a figure in the table; the line of JSON holds all of them
+SIGNIFICANT_DIGITS = 4  # of a number in the table; the JSON record has all digits
 COLUMN_GAP = "  "
 
 
 @dataclass(frozen=True, slots=True)
 class LinearFit:
-    """A straight line through points by least squares; `r2` is the part of the variance that it explains."""
+    """A least-squares line; `r2` is its coefficient of determination."""
 
     slope: float
     intercept: float
@@ -30,12 +30,12 @@
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> LinearFit:
-    """Fit a line through two or more points (x, y); raises ValueError unless two of their x differ."""
+    """Fit a line to points (x, y) by least squares; raises ValueError unless two of their x differ."""
     xs, ys = [x for x, _ in points], [y for _, y in points]
     try:
         slope, intercept = statistics.linear_regression(xs, ys)
     except statistics.StatisticsError as error:
-        raise ValueError(f"no line through these points: {error}") from None
+        raise ValueError(f"cannot fit a line: {error}") from None
     mean = statistics.fmean(ys)
     total = sum((y - mean) ** 2 for y in ys)
     residual = sum((y - intercept - slope * x) ** 2 for x, y in points)
@@ -43,13 +43,13 @@
 
 
 def fit_row(label: str, points: Sequence[tuple[float, float]]) -> FitRow:
-    """The row of the line through these points; raises ValueError as `fit_line` does."""
+    """Fit a line to points and return it as a row; raises ValueError as `fit_line` does."""
     line = fit_line(points)
     return FitRow(fit=label, slope=line.slope, intercept=line.intercept, r2=line.r2)
 
 
 class Machine(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The machine of a run. `load` is the load average over the minute before it."""
+    """The machine of a run; `load` is the load average over the minute before the run."""
 
     cores: int | None
     python: str
@@ -57,7 +57,7 @@
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One run as it is stored: a line of JSON."""
+    """A stored run: one line of JSON."""
 
     experiment: str
     seed: int
@@ -68,21 +68,21 @@
 
 
 class Run:
-    """One run of an experiment: rows of figures, and what is needed to repeat them."""
+    """A run of an experiment: its rows, and what is needed to repeat it."""
 
     def __init__(self, experiment: str, seed: int, parameters: dict[str, Any]) -> None:
         self.experiment, self.seed, self.parameters = experiment, seed, parameters
         self.rows: list[Row] = []
-        self._machine = machine()  # with the load before this run's own
+        self._machine = machine()  # before the run adds to the load average
 
     def add_row(self, row: Row) -> None:
-        """Keep a row; rows of one run may have different columns."""
+        """Add a row; the rows of a run may have different columns."""
         self.rows.append(row)
 
     def write_results(self, out: TextIO | None) -> None:
-        """Print the table to standard output, and write the line of JSON to `out`."""
+        """Print the table to standard output, and write the JSON record as a line to `out`."""
         print(f"{self.experiment}, seed {self.seed}")
-        print(table([row.columns() for row in self.rows]))
+        print(format_table([row.columns() for row in self.rows]))
         sys.stdout.flush()
         if out is not None:
             out.write(msgspec.json.encode(self._record()).decode() + "\n")
@@ -99,8 +99,8 @@
         )
 
 
-def table(rows: Sequence[dict[str, ColumnValue]]) -> str:
-    """Lines of aligned columns, named by the rows' keys in the order in which they first occur."""
+def format_table(rows: Sequence[dict[str, ColumnValue]]) -> str:
+    """Format rows as lines of aligned columns, in the order in which the column names first occur."""
     names = list(dict.fromkeys(name for row in rows for name in row))
     lines = [names] + [[_format_value(row.get(name, "")) for name in names] for row in rows]
     widths = [max(len(line[column]) for line in lines) for column in range(len(names))]
@@ -119,7 +119,7 @@
 
 
 def commit() -> str:
-    """The commit of the working directory, "+dirty" behind it where files differ; "unknown" elsewhere."""
+    """The commit of the working directory, with "+dirty" if files differ; "unknown" outside of git."""
     try:
         head, changes = _git("rev-parse", "HEAD"), _git("status", "--porcelain")
     except (OSError, subprocess.SubprocessError):
@@ -135,5 +135,5 @@
 
 
 def machine() -> Machine:
-    """Cores, Python's version and the load average over the last minute."""
+    """The number of cores, the Python version and the load average over the last minute."""
     return Machine(cores=os.cpu_count(), python=platform.python_version(), load=os.getloadavg()[0])
--- a/rushroad/bench/rows.py
+++ b/rushroad/bench/rows.py
@@ -1,4 +1,4 @@
-"""Typed rows of results. The names of their columns are those of the output and of stored records."""
+"""Typed result rows. Their encoded field names are the columns of printed tables and stored records."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One row of a table. A field that is UNSET has no column in this row."""
+    """A row of results; a field that is UNSET has no column."""
 
     def columns(self) -> dict[str, ColumnValue]:
-        """The row's cells by the names of their columns, in the order of the fields."""
+        """The row's values by column name, in the order of the fields."""
         return cast(dict[str, ColumnValue], msgspec.to_builtins(self))
 
 
 class FitRow(Row, frozen=True, kw_only=True):
-    """A straight line fitted through the rows before it: `fit` names the two columns."""
+    """A line fitted to the preceding rows; `fit` names the two columns, as "y by x"."""
 
     fit: str
     slope: float
@@ -28,9 +28,9 @@
 
 
 class ConditionRow(Row, frozen=True, kw_only=True):
-    """A row that begins with what is varied between the rows of its run."""
+    """A row that starts with the parameters that vary between the rows of a run."""
 
-    fleet: int | UnsetType = UNSET  # gateways, in the settings
+    fleet: int | UnsetType = UNSET  # gateways in the fleet, according to the settings
     gateways: int | UnsetType = UNSET
     servers: int | UnsetType = UNSET
     source: str | UnsetType = UNSET  # of the endpoint list
@@ -39,6 +39,6 @@
 
 
 class ErrorRow(ConditionRow, frozen=True, kw_only=True):
-    """Stands for a row that could not be measured."""
+    """Replaces a row whose measurement failed."""
 
     error: str
--- a/rushroad/bench/stored_runs.py
+++ b/rushroad/bench/stored_runs.py
@@ -1,7 +1,7 @@
-"""Reads the stored records of runs, one line of JSON each, into typed rows.
+"""Reads stored records of runs, one per line of JSON, into typed rows.
 
-The names of stored columns are mapped to the rows' fields by the row types. Columns that only older records
-have are optional fields there.
+The row types map the names of stored columns to fields. Columns that occur only in older records are optional
+fields.
 """
 
 from __future__ import annotations
@@ -47,10 +47,10 @@
 
 
 def read_records(path: Path) -> Iterator[Record]:
-    """Read a file of records, one a line.
+    """Read a file of records, one per line.
 
-    Raises msgspec.DecodeError where a line is no record, and ValueError where its experiment or one of its
-    rows is unknown.
+    Raises msgspec.DecodeError if a line is not a record, and ValueError if its experiment or the columns of a
+    row are unknown.
     """
     with path.open("rb") as file:
         for line in file:
@@ -61,7 +61,7 @@
     """Read one record; raises as `read_records` does."""
     stored = msgspec.json.decode(line, type=_StoredRecord)
     if stored.experiment not in ROW_TYPES:
-        raise ValueError(f"a record of the experiment {stored.experiment!r}, which is none of {[*ROW_TYPES]}")
+        raise ValueError(f"unknown experiment {stored.experiment!r}, expected one of {[*ROW_TYPES]}")
     return Record(
         experiment=stored.experiment,
         seed=stored.seed,
@@ -73,11 +73,11 @@
 
 
 def _read_row(experiment: str, columns: dict[str, Any]) -> Row:
-    """The row of the first type whose columns these are."""
+    """Convert the columns to the first row type that they match."""
     for row_type in (*ROW_TYPES[experiment], FitRow, ErrorRow):
         try:
             row: Row = msgspec.convert(columns, row_type)
             return row
         except msgspec.ValidationError:
             continue
-    raise ValueError(f"no row of {experiment} has the columns {[*columns]}")
+    raise ValueError(f"no row type of {experiment} has the columns {[*columns]}")
--- a/tests/bench/test_cli.py
+++ b/tests/bench/test_cli.py
@@ -1,4 +1,4 @@
-"""The command, as a script and as a module."""
+"""The command `rushroad-bench`, as a script and as a module."""
 
 import subprocess
 import sys
@@ -10,12 +10,12 @@
 from rushroad.bench.worker import ROOT
 
 
-@pytest.mark.parametrize("words", [("cost-by-rate", "--rates", "0"), ("demo", "--size", "3")])
-def test_sizes_that_make_no_sense_are_rejected_at_once(words: tuple[str, ...]) -> None:
-    assert CliRunner().invoke(main, words).exit_code == 2
+@pytest.mark.parametrize("arguments", [("cost-by-rate", "--rates", "0"), ("demo", "--size", "3")])
+def test_invalid_rates_and_sizes_are_usage_errors(arguments: tuple[str, ...]) -> None:
+    assert CliRunner().invoke(main, arguments).exit_code == 2
 
 
-def test_the_package_runs_as_a_module_with_all_subcommands() -> None:
+def test_module_lists_all_subcommands_in_its_help() -> None:
     command = [sys.executable, "-m", "rushroad.bench", "--help"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
     assert done.stdout.startswith("Usage: rushroad-bench ")
--- a/tests/bench/test_options.py
+++ b/tests/bench/test_options.py
@@ -1,4 +1,4 @@
-"""The options that subcommands share."""
+"""Parsing of shared command-line options."""
 
 import click
 import pytest
@@ -7,6 +7,6 @@
 
 
 @pytest.mark.parametrize("text", ["", "3", "0/4", "3/x", "1/2/3"])
-def test_a_malformed_size_is_an_error_of_the_command_line(text: str) -> None:
+def test_malformed_size_is_a_usage_error(text: str) -> None:
     with pytest.raises(click.BadParameter):
         parse_sizes(text)
--- a/tests/support/bench_rows.py
+++ b/tests/support/bench_rows.py
@@ -1,4 +1,4 @@
-"""Access to the rows of a bench run by their type."""
+"""Selects the rows of a bench run by type."""
 
 from typing import TypeVar
 
