--- a/rushroad/bench/simulated/background_load.py
+++ b/rushroad/bench/simulated/background_load.py
@@ -1,4 +1,4 @@
-"""Requests of the gateways that are not simulated, at the rate servers of those that are."""
+"""Requests that gateways outside of the simulation send to the simulated rate servers."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 class BackgroundLoad:
     """Sends each rate server the requests of the gateways that are not simulated, as a Poisson process.
 
-    A rate server gets them in proportion to its speed, as from gateways that know what each can take.
+    The request rate of a rate server is proportional to its speed, as it is with gateways that balance load
+    by capacity.
     """
 
     def __init__(self, simulation: Simulation, size: FleetSize, simulated: Collection[int]) -> None:
         """`simulated`: the indices of the gateways that are simulated."""
         self._simulation, self._size, self._simulated = simulation, size, simulated
-        self.factor = 1.0  # requests a second to a rate server, over the usual
+        self.rate_factor = 1.0  # multiplies the request rate of every rate server
 
     def start(
         self,
@@ -27,7 +28,11 @@
         gateways_of: GatewaysOfEndpoint,
         later_gateways_of: GatewaysOfEndpoint | None = None,
     ) -> None:
-        """Begin. `later_gateways_of`: who may send to a rate server later, where that can be more of them."""
+        """Start sending.
+
+        `gateways_of` returns the gateways that may send to a rate server, `later_gateways_of` those that may
+        send to it after a change of the endpoint list, if these can be more.
+        """
         rate_servers = list(rate_servers)
         total_rate = self._size.request_rate * self._size.gateways
         rate_per_speed = total_rate / sum(server.speed for server in rate_servers)
@@ -40,10 +45,10 @@
                 self._schedule(server, rate)
 
     def _schedule(self, server: SimulatedRateServer, rate: float) -> None:
-        gap = self._simulation.random.expovariate(rate * self.factor) * SECOND
-        self._simulation.after(int(gap), self._send, server, rate)
+        gap = self._simulation.random.expovariate(rate * self.rate_factor) * SECOND
+        self._simulation.schedule(int(gap), self._send, server, rate)
 
     def _send(self, server: SimulatedRateServer, rate: float) -> None:
-        if server.warm_share() == 1.0:  # how little others send to a server that warms up is not known
-            server.arrive(None)
+        if server.capacity_fraction() == 1.0:  # the reduced load during warm-up is unknown
+            server.receive_attempt(None)
         self._schedule(server, rate)
--- a/rushroad/bench/simulated/clients.py
+++ b/rushroad/bench/simulated/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a simulated fleet: requests as a Poisson process at each gateway."""
+"""Clients of a simulated fleet, which send a Poisson process of requests to each gateway."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from rushroad.bench.fleet_size import FleetSize
 from rushroad.bench.simulated.fleet_settings import TENANT_REQUEST_RATE, UNITS_RANGE
 from rushroad.bench.simulated.gateway import SimulatedGateway
-from rushroad.bench.simulated.simulation import MILLISECOND, SECOND, Simulation, Tally
+from rushroad.bench.simulated.simulation import MILLISECOND, SECOND, Metric, Simulation
 from rushroad.policy.events import Request
 
-GATEWAY_FAILURE_DETECTION = 2_500 * MILLISECOND  # requests go on coming to a stopped gateway for so long
-MAX_ENTRY_POINTS = 3  # gateways that a tenant's requests come through
+GATEWAY_FAILURE_DETECTION = 2_500 * MILLISECOND  # until clients stop sending to a stopped gateway
+MAX_ENTRY_POINTS = 3  # gateways per tenant
 IDEMPOTENCY_KEY_SHARE = 0.27  # of the requests
 
 
 class SimulatedClients:
-    """Sends each gateway its requests, and those of a stopped gateway to the others."""
+    """Sends requests to each gateway; those for a stopped gateway go to the others once it is detected."""
 
     def __init__(self, simulation: Simulation, size: FleetSize, gateways: Iterable[SimulatedGateway]) -> None:
         self._simulation, self._size, self._gateways = simulation, size, list(gateways)
@@ -28,11 +28,11 @@
 
     def _schedule_request(self, gateway: SimulatedGateway) -> None:
         gap = int(self._simulation.random.expovariate(self._size.request_rate) * SECOND)
-        self._simulation.after(gap, self._send_request, gateway)
+        self._simulation.schedule(gap, self._send_request, gateway)
 
     def _send_request(self, gateway: SimulatedGateway) -> None:
         self._schedule_request(gateway)
-        self._simulation.count(Tally.REQUESTS)
+        self._simulation.count(Metric.REQUESTS)
         target = gateway
         stopped_at = gateway.stopped_at
         if stopped_at is not None and self._simulation.now - stopped_at > GATEWAY_FAILURE_DETECTION:
@@ -41,7 +41,7 @@
         target.submit(self._request(gateway.index))
 
     def _request(self, index: int) -> Request:
-        """A request of one of the tenants whose entry points include the gateway of this index."""
+        """Create a request of a random tenant whose entry points include the gateway with this index."""
         random, gateways = self._simulation.random, self._size.gateways
         entry_points = min(MAX_ENTRY_POINTS, gateways)
         first_entry = (index - random.randrange(entry_points)) % gateways
--- a/rushroad/bench/simulated/cold_fleet.py
+++ b/rushroad/bench/simulated/cold_fleet.py
@@ -1,4 +1,4 @@
-"""The experiment `cold-fleet`: what a rate server that is warming up gets from all its gateways."""
+"""The experiment `cold-fleet`: the load on a rate server from all its gateways while it warms up."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class WarmUpWindowRow(Row, frozen=True, kw_only=True):
-    """One overload window after the start of the rate server, over all trials."""
+    """One overload window since the start of the rate server, over all trials."""
 
     size: str
     window_start_s: float = msgspec.field(name="from_s")
     attempts_mean: float
     attempts_max: int
-    allowed_mean: float = msgspec.field(name="bears_mean")  # attempts within the window before it crashes
-    max_load: float = msgspec.field(name="nearest")  # attempts over those allowed, at the worst moment
+    allowed_mean: float = msgspec.field(name="bears_mean")  # attempts in the window before a crash
+    max_load: float = msgspec.field(name="nearest")  # peak ratio of attempts to those allowed
 
 
 class WarmUpTotalRow(Row, frozen=True, kw_only=True):
@@ -35,7 +35,7 @@
     size: str
     trials: int
     simulated_gateways: int = msgspec.field(name="emulated")
-    sharing_gateways: int = msgspec.field(name="sharers")  # gateways that may send to the rate server
+    sharing_gateways: int = msgspec.field(name="sharers")  # that may send to the rate server
     crashes: int = msgspec.field(name="falls")
     max_load: float = msgspec.field(name="nearest")
 
@@ -47,19 +47,20 @@
     simulated_gateways: int
 
 
-def cold_fleet(sizes: Sequence[FleetSize], trials: int, max_gateways: int, seed: int) -> Run:
-    """Add one rate server, and count what it gets while it warms up. One that crashed stays down.
+def run_cold_fleet(sizes: Sequence[FleetSize], trials: int, max_gateways: int, seed: int) -> Run:
+    """Add one rate server, and count the attempts it gets while it warms up; it stays down after a crash.
 
-    Of fleets of more than `max_gateways` gateways, all that may send to this rate server are simulated.
+    In fleets with more than `max_gateways` gateways, only those that may send to this rate server are
+    simulated.
     """
     parameters = {"sizes": [str(size) for size in sizes], "trials": trials, "most": max_gateways}
     run = Run("cold-fleet", seed, parameters)
     for size in sizes:
         results = [_run_trial(size, max_gateways, seed + trial) for trial in range(trials)]
         safety = FLEET_SETTINGS.safety
-        for window in range(safety.warm_up_time // safety.overload_window):  # the whole ones
+        for window in range(safety.warm_up_time // safety.overload_window):  # complete windows only
             run.add_row(_window_row(size, window, results))
-        gateways_of = gateways_of_endpoint(_with_one_more(size))
+        gateways_of = gateways_of_endpoint(_with_added_server(size))
         run.add_row(
             WarmUpTotalRow(
                 size=str(size),
@@ -84,21 +85,21 @@
         window_start_s=window * length / SECOND,
         attempts_mean=len(arrivals) / len(results),
         attempts_max=max(map(len, by_trial)),
-        allowed_mean=fmean(arrival.allowed for arrival in arrivals) if arrivals else 0.0,
+        allowed_mean=fmean(arrival.allowed_attempts for arrival in arrivals) if arrivals else 0.0,
         max_load=_max_load(arrivals),
     )
 
 
 def _max_load(arrivals: Sequence[WarmUpArrival]) -> float:
-    return max((arrival.in_window / arrival.allowed for arrival in arrivals), default=0.0)
+    return max((arrival.attempts_in_window / arrival.allowed_attempts for arrival in arrivals), default=0.0)
 
 
-def _with_one_more(size: FleetSize) -> FleetSize:
+def _with_added_server(size: FleetSize) -> FleetSize:
     return replace(size, rate_servers=size.rate_servers + 1)
 
 
 def _run_trial(size: FleetSize, max_gateways: int, seed: int) -> _Trial:
-    gateways_of = gateways_of_endpoint(_with_one_more(size))
+    gateways_of = gateways_of_endpoint(_with_added_server(size))
     sample = None if size.gateways <= max_gateways else sorted(gateways_of(endpoint_name(size.rate_servers)))
     fleet = Fleet(size, seed, sample=sample)
     if sample is not None:
--- a/rushroad/bench/simulated/counter.py
+++ b/rushroad/bench/simulated/counter.py
@@ -1,4 +1,4 @@
-"""The simulated counter that all gateways of a fleet share."""
+"""The simulated counter service, which all gateways of a fleet share."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from rushroad.bench.simulated.simulation import MILLISECOND, Simulation
 from rushroad.policy.actions import CounterAdd
 
-COUNTER_DELAY = 3 * MILLISECOND  # there and back, with the counter's work
+COUNTER_DELAY = 3 * MILLISECOND  # round trip, including the work of the counter
 
 
 @dataclass(slots=True)
@@ -17,7 +17,7 @@
 
 
 class SimulatedCounter:
-    """Totals by name; a name lives as long as its first call asked for."""
+    """Totals by name; a total expires after the lifetime given by the call that created it."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
@@ -25,7 +25,7 @@
         self._totals: dict[int, _Total] = {}
 
     def add(self, call: CounterAdd) -> float:
-        """Add to a name's total; returns the total after it."""
+        """Add to a total and return the new value."""
         now = self._simulation.now
         entry = self._totals.get(call.name)
         if entry is None or entry.expires_at <= now:
--- a/rushroad/bench/simulated/fleet_settings.py
+++ b/rushroad/bench/simulated/fleet_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a simulated fleet: request classes, one plan, and the policy's limits."""
+"""The settings of a simulated fleet: request classes, a plan and limits."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     Settings,
 )
 
-TENANT_REQUEST_RATE = 850_000 / 360_000  # requests a second of one tenant in the mean, at the planned size
-QUOTA_HEADROOM = 3.0  # quota over mean use: these experiments are not about quotas
-BURST_TIME = 5 * SECOND  # the burst is refilled in this time
-UNITS_RANGE = (1, 4)  # least and most units of a request
+TENANT_REQUEST_RATE = 850_000 / 360_000  # requests/s of a tenant, mean at the planned fleet size
+QUOTA_HEADROOM = 3.0  # quota over mean use; high, so that quotas do not limit these experiments
+BURST_TIME = 5 * SECOND  # in which the quota refills the burst
+UNITS_RANGE = (1, 4)  # minimum and maximum units of a request
 
-_QUOTA_RATE = QUOTA_HEADROOM * TENANT_REQUEST_RATE * sum(UNITS_RANGE) / 2  # units a second
+_QUOTA_RATE = QUOTA_HEADROOM * TENANT_REQUEST_RATE * sum(UNITS_RANGE) / 2  # units/s
 
 REQUEST_CLASSES = (
     RequestClass(
--- a/rushroad/bench/simulated/module_cost.py
+++ b/rushroad/bench/simulated/module_cost.py
@@ -1,4 +1,4 @@
-"""The experiment `module-cost`: what the decision policy of one gateway costs, by the size of its fleet."""
+"""The experiment `module-cost`: CPU time and memory of one gateway's decision policy, by fleet size."""
 
 from __future__ import annotations
 
@@ -18,41 +18,41 @@
 from rushroad.bench.simulated.fleet_settings import FLEET_SETTINGS
 from rushroad.bench.simulated.policy_observer import CountingGateway
 from rushroad.bench.simulated.rate_server import CELL_SIZE, endpoint_name
-from rushroad.bench.simulated.simulation import SECOND, START
+from rushroad.bench.simulated.simulation import SECOND, START_TIME
 from rushroad.policy.actions import SetTimer
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, TimerFired, UpdateKind
 from rushroad.policy.gateway import Gateway
 
-WARM_UP_SHARE = 0.2  # of the requests; they come first and are not counted
-MAX_REQUESTS_EXAMINED = 100  # requests over which the endpoints examined are counted
-CHANGED_ENDPOINTS = 100  # changed in a message each, and then once all in one message
-SLICE = SECOND // 10  # of the virtual clock, between checks of the processor time that remains
+WARM_UP_SHARE = 0.2  # of the requests, sent before the measurement
+MAX_EXAMINED_REQUESTS = 100  # whose examined endpoints are counted
+CHANGED_ENDPOINTS = 100  # each changed in its own message, then all in one
+CPU_LIMIT_CHECK_INTERVAL = SECOND // 10  # in virtual time
 MEGABYTE = 1_000_000  # bytes
 
 
 class ModuleCostRow(Row, frozen=True, kw_only=True):
-    """The cost of one gateway's policy in a fleet of one size."""
+    """The cost of one gateway's policy at one fleet size."""
 
     gateways: int
     servers: int
     requests: int
-    us_request: float
-    endpoints_examined: float = msgspec.field(name="looked_at")  # for a request, in the mean
-    us_change: float  # for a changed endpoint, alone in its message
-    us_change_in_100: float  # for a changed endpoint, among 100 in one message
-    list_ms: float  # to take a whole endpoint list
+    cpu_us_per_request: float = msgspec.field(name="us_request")
+    endpoints_examined: float = msgspec.field(name="looked_at")  # mean per request
+    cpu_us_per_change: float = msgspec.field(name="us_change")  # endpoints in one message each
+    cpu_us_per_batched_change: float = msgspec.field(name="us_change_in_100")  # 100 endpoints in a message
+    list_ms: float  # CPU time for a full endpoint list
     list_held_mb: float
     list_peak_mb: float
 
 
 class _RequestCost(NamedTuple):
     requests: int
-    us_request: float
+    cpu_us_per_request: float
 
 
 class _ChangeCost(NamedTuple):
-    us_change: float
-    us_change_in_100: float
+    cpu_us_per_change: float
+    cpu_us_per_batched_change: float
 
 
 class _ListCost(NamedTuple):
@@ -61,30 +61,29 @@
     list_peak_mb: float
 
 
-def module_cost(sizes: Sequence[FleetSize], requests: int, patience: float, seed: int) -> Run:
-    """Measure the policy of one gateway of each fleet, before rate servers that all answer well.
+def run_module_cost(sizes: Sequence[FleetSize], requests: int, cpu_limit_s: float, seed: int) -> Run:
+    """Measure the policy of one gateway for each fleet size, without faults at the rate servers.
 
-    `patience` is the processor time in seconds after which a size's requests end early; its row says how many
-    there were.
+    `cpu_limit_s` is the CPU time after which the requests of a size stop early; its row has their number.
     """
     names = [str(size) for size in sizes]
-    run = Run("module-cost", seed, {"sizes": names, "requests": requests, "patience": patience})
+    run = Run("module-cost", seed, {"sizes": names, "requests": requests, "patience": cpu_limit_s})
     points = []
     for size in sizes:
         fleet = Fleet(size, seed, sample=[0])
-        request_cost = _measure_requests(fleet, requests, patience)
-        examined = _count_examined(size, seed, min(MAX_REQUESTS_EXAMINED, request_cost.requests))
-        change_cost, list_cost = _measure_changes(fleet), _measure_list(size)
-        points.append((float(size.rate_servers), request_cost.us_request))
+        request_cost = _measure_requests(fleet, requests, cpu_limit_s)
+        examined = _measure_endpoints_examined(size, seed, min(MAX_EXAMINED_REQUESTS, request_cost.requests))
+        change_cost, list_cost = _measure_changes(fleet), _measure_endpoint_list(size)
+        points.append((float(size.rate_servers), request_cost.cpu_us_per_request))
         run.add_row(
             ModuleCostRow(
                 gateways=size.gateways,
                 servers=size.rate_servers,
                 requests=request_cost.requests,
-                us_request=request_cost.us_request,
+                cpu_us_per_request=request_cost.cpu_us_per_request,
                 endpoints_examined=examined,
-                us_change=change_cost.us_change,
-                us_change_in_100=change_cost.us_change_in_100,
+                cpu_us_per_change=change_cost.cpu_us_per_change,
+                cpu_us_per_batched_change=change_cost.cpu_us_per_batched_change,
                 list_ms=list_cost.list_ms,
                 list_held_mb=list_cost.list_held_mb,
                 list_peak_mb=list_cost.list_peak_mb,
@@ -95,52 +94,52 @@
     return run
 
 
-def _measure_requests(fleet: Fleet, requests: int, patience: float) -> _RequestCost:
+def _measure_requests(fleet: Fleet, requests: int, cpu_limit_s: float) -> _RequestCost:
     gateway, rate = fleet.gateways[0], fleet.size.request_rate
     fleet.run(int(WARM_UP_SHARE * requests / rate * SECOND))
-    began_ns, end = gateway.policy_time_ns, fleet.simulation.now + int(requests / rate * SECOND)
-    before = fleet.requests_so_far()
-    while fleet.simulation.now < end and gateway.policy_time_ns - began_ns < patience * 1e9:
-        fleet.run(SLICE)
-    count = fleet.requests_so_far() - before
-    return _RequestCost(count, (gateway.policy_time_ns - began_ns) / 1e3 / max(1, count))
+    start_ns, end = gateway.policy_cpu_ns, fleet.simulation.now + int(requests / rate * SECOND)
+    before = fleet.request_count()
+    while fleet.simulation.now < end and gateway.policy_cpu_ns - start_ns < cpu_limit_s * 1e9:
+        fleet.run(CPU_LIMIT_CHECK_INTERVAL)
+    count = fleet.request_count() - before
+    return _RequestCost(count, (gateway.policy_cpu_ns - start_ns) / 1e3 / max(1, count))
 
 
-def _count_examined(size: FleetSize, seed: int, requests: int) -> float:
-    """The mean number of endpoints that the choice for a request examines."""
+def _measure_endpoints_examined(size: FleetSize, seed: int, requests: int) -> float:
+    """Return the mean number of endpoints examined to choose one for a request."""
     fleet = Fleet(size, seed, sample=[0], policy_class=CountingGateway)
     policy = fleet.gateways[0].policy
     assert isinstance(policy, CountingGateway)
     fleet.run(int(requests / size.request_rate * SECOND))
-    return policy.examined / max(1, fleet.requests_so_far())
+    return policy.examined / max(1, fleet.request_count())
 
 
 def _measure_changes(fleet: Fleet) -> _ChangeCost:
-    """Notify the gateway of restarted endpoints: one a message, then all in one message."""
+    """Notify the gateway of restarted endpoints, first in one message each and then all in one message."""
     gateway, now = fleet.gateways[0], fleet.simulation.now
     endpoints = list(fleet.initial_endpoints.values())[:CHANGED_ENDPOINTS]
-    began_ns = gateway.policy_time_ns
+    start_ns = gateway.policy_cpu_ns
     for endpoint in endpoints:
         gateway.notify([msgspec.structs.replace(endpoint, started_at=now)])
-    alone_ns = gateway.policy_time_ns - began_ns
+    single_ns = gateway.policy_cpu_ns - start_ns
     gateway.notify([msgspec.structs.replace(endpoint, started_at=now + 1) for endpoint in endpoints])
-    together_ns = gateway.policy_time_ns - began_ns - alone_ns
-    return _ChangeCost(alone_ns / 1e3 / len(endpoints), together_ns / 1e3 / len(endpoints))
+    batch_ns = gateway.policy_cpu_ns - start_ns - single_ns
+    return _ChangeCost(single_ns / 1e3 / len(endpoints), batch_ns / 1e3 / len(endpoints))
 
 
-def _measure_list(size: FleetSize) -> _ListCost:
-    """Processor time of a new gateway for a whole endpoint list, and the memory that it then holds."""
-    began_ns = time.thread_time_ns()
-    _take_list(size, _endpoints(size))
-    took_ns = time.thread_time_ns() - began_ns
+def _measure_endpoint_list(size: FleetSize) -> _ListCost:
+    """Measure the CPU time of a new gateway for a full endpoint list, and the memory it retains."""
+    start_ns = time.thread_time_ns()
+    _load_endpoint_list(size, _endpoints(size))
+    cpu_ns = time.thread_time_ns() - start_ns
     gc.collect()
     tracemalloc.start()
-    gateway = _take_list(size, _endpoints(size))
+    gateway = _load_endpoint_list(size, _endpoints(size))
     gc.collect()
-    in_use, peak = tracemalloc.get_traced_memory()
+    retained, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     del gateway
-    return _ListCost(took_ns / 1e6, in_use / MEGABYTE, peak / MEGABYTE)
+    return _ListCost(cpu_ns / 1e6, retained / MEGABYTE, peak / MEGABYTE)
 
 
 def _endpoints(size: FleetSize) -> tuple[Endpoint, ...]:
@@ -156,8 +155,8 @@
     )
 
 
-def _take_list(size: FleetSize, endpoints: tuple[Endpoint, ...]) -> Gateway:
-    gateway, now = Gateway(replace(FLEET_SETTINGS, fleet_size=size.gateways), 1, START), START
+def _load_endpoint_list(size: FleetSize, endpoints: tuple[Endpoint, ...]) -> Gateway:
+    gateway, now = Gateway(replace(FLEET_SETTINGS, fleet_size=size.gateways), 1, START_TIME), START_TIME
     actions = gateway.handle(now, EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, 1, endpoints))
     while timers := [action for action in actions if isinstance(action, SetTimer)]:
         now += max(FLEET_SETTINGS.tick, timers[0].delay)
--- a/rushroad/bench/simulated/policy_observer.py
+++ b/rushroad/bench/simulated/policy_observer.py
@@ -1,4 +1,4 @@
-"""Observes a gateway's policy: the endpoints that it examines, and those that it forwards to."""
+"""Access to a policy's internals: the endpoints that it examines, and those that it forwards to."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class CountingGateway(Gateway):
-    """Counts the endpoints whose expected wait it computes: those that the choice of an endpoint examines."""
+    """Counts the endpoints examined for requests, which are those whose expected wait is computed."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         super().__init__(settings, seed, now)
--- a/rushroad/bench/simulated/restart_tenth.py
+++ b/rushroad/bench/simulated/restart_tenth.py
@@ -1,4 +1,4 @@
-"""The experiment `restart-tenth`: a tenth of a fleet's gateways restarts at once."""
+"""The experiment `restart-tenth`: a tenth of a fleet's gateways restart at once."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from rushroad.bench.report import Run
 from rushroad.bench.rows import Row
 from rushroad.bench.simulated.fleet import SETTLING_TIME, Fleet
-from rushroad.bench.simulated.simulation import SECOND, Tally
+from rushroad.bench.simulated.simulation import SECOND, Metric
 from rushroad.bench.simulated.subsets import gateways_of_endpoint
 
-DOWN_TIME = 3 * SECOND  # of a gateway that restarts; 1.1 to 7.6 s were seen
+DOWN_TIME = 3 * SECOND  # of a restarting gateway; restarts take 1.1 to 7.6 s
 RECOVERY_TIME = 10 * SECOND  # observed after the restart
 
 
 class RestartRow(Row, frozen=True, kw_only=True):
-    """One phase of a restart; the counts are means a second."""
+    """One phase of a restart; counts are means per second."""
 
     size: str
     simulated_gateways: int = msgspec.field(name="emulated")
@@ -36,35 +36,35 @@
 
 class _Phase(NamedTuple):
     name: str
-    since: int  # seconds from the start of the run
-    until: int
+    start_s: int  # seconds from the start of the run
+    end_s: int
 
 
-def restart_tenth(sizes: Sequence[FleetSize], max_gateways: int, seed: int) -> Run:
-    """Stop a tenth of the gateways at once and start them again; counts a second of each phase.
+def run_restart_tenth(sizes: Sequence[FleetSize], max_gateways: int, seed: int) -> Run:
+    """Stop a tenth of the gateways at once and start them again; reports counts per second by phase.
 
-    Of fleets of more than `max_gateways` gateways so many are simulated, drawn at random. The others do not
-    restart then.
+    In fleets with more than `max_gateways` gateways, a random sample of that size is simulated. The others do
+    not restart.
     """
     run = Run("restart-tenth", seed, {"sizes": [str(size) for size in sizes], "most": max_gateways})
     for size in sizes:
         sample = sorted(Random(seed).sample(range(size.gateways), min(max_gateways, size.gateways)))
         fleet = Fleet(size, seed, sample=sample)
-        restarted = _restart(fleet)
-        back = (SETTLING_TIME + DOWN_TIME) // SECOND
+        restarted = _restart_gateways(fleet)
+        back_s = (SETTLING_TIME + DOWN_TIME) // SECOND
         phases = (
-            _Phase("before", back // 2, SETTLING_TIME // SECOND),
-            _Phase("down", SETTLING_TIME // SECOND, back),
-            _Phase("back, first 2 s", back, back + 2),
-            _Phase("after", back + 2, fleet.simulation.second),
+            _Phase("before", back_s // 2, SETTLING_TIME // SECOND),
+            _Phase("down", SETTLING_TIME // SECOND, back_s),
+            _Phase("back, first 2 s", back_s, back_s + 2),
+            _Phase("after", back_s + 2, fleet.simulation.elapsed_s),
         )
         for phase in phases:
             run.add_row(_phase_row(fleet, restarted, phase))
     return run
 
 
-def _restart(fleet: Fleet) -> int:
-    """Run the fleet through the restart; returns how many gateways restarted."""
+def _restart_gateways(fleet: Fleet) -> int:
+    """Run the fleet through the restart; returns the number of restarted gateways."""
     fleet.start_background_load(gateways_of_endpoint(fleet.size))
     fleet.run(SETTLING_TIME)
     gateways = list(fleet.gateways.values())
@@ -79,16 +79,16 @@
 
 
 def _phase_row(fleet: Fleet, restarted: int, phase: _Phase) -> RestartRow:
-    counts, seconds = fleet.simulation.counts(phase.since, phase.until), phase.until - phase.since
+    counts, seconds = fleet.simulation.counts(phase.start_s, phase.end_s), phase.end_s - phase.start_s
     return RestartRow(
         size=str(fleet.size),
         simulated_gateways=len(fleet.gateways),
         restarted=restarted,
         phase=phase.name,
-        requests=counts[Tally.REQUESTS] / seconds,
-        served=counts[Tally.SERVED] / seconds,
-        rejected=counts[Tally.REJECTED] / seconds,
-        failed=counts[Tally.FAILED] / seconds,
-        lost=counts[Tally.LOST] / seconds,
-        connects=counts[Tally.CONNECTS] / seconds,
+        requests=counts[Metric.REQUESTS] / seconds,
+        served=counts[Metric.SERVED] / seconds,
+        rejected=counts[Metric.REJECTED] / seconds,
+        failed=counts[Metric.FAILED] / seconds,
+        lost=counts[Metric.LOST] / seconds,
+        connects=counts[Metric.CONNECTS] / seconds,
     )
--- a/rushroad/bench/simulated/spread.py
+++ b/rushroad/bench/simulated/spread.py
@@ -1,4 +1,4 @@
-"""The experiment `spread`: how evenly the subsets of a fleet share the endpoints, and how stable they are."""
+"""The experiment `spread`: how balanced and how stable the subsets of a fleet are."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from rushroad.bench.rows import Row
 from rushroad.bench.simulated.subsets import endpoint_names, gateways_per_endpoint, subsets_of_fleet
 
-DIGEST_TIMEOUT_S = 120  # in a new process; the subsets of the planned fleet size take some of it
+DIGEST_TIMEOUT_S = 120  # allows for the subsets of the planned fleet size
 
 
 class SpreadRow(Row, frozen=True, kw_only=True):
@@ -24,25 +24,25 @@
 
     gateways: int
     servers: int
-    gateways_a_server_min: int
-    gateways_a_server_mean: float
-    gateways_a_server_max: int
-    servers_a_gateway_min: int
-    servers_a_gateway_mean: float
-    servers_a_gateway_max: int
-    min_load: float = msgspec.field(name="load_least")  # of a rate server, over the mean
+    gateways_per_server_min: int = msgspec.field(name="gateways_a_server_min")
+    gateways_per_server_mean: float = msgspec.field(name="gateways_a_server_mean")
+    gateways_per_server_max: int = msgspec.field(name="gateways_a_server_max")
+    servers_per_gateway_min: int = msgspec.field(name="servers_a_gateway_min")
+    servers_per_gateway_mean: float = msgspec.field(name="servers_a_gateway_mean")
+    servers_per_gateway_max: int = msgspec.field(name="servers_a_gateway_max")
+    min_load: float = msgspec.field(name="load_least")  # of a rate server, relative to the mean
     max_load: float = msgspec.field(name="load_most")
-    join_subsets: int  # changed by a rate server that joins
-    max_join_changes: int = msgspec.field(name="join_members_max")  # of one subset
-    leave_subsets: int
+    join_subsets: int  # that change if a rate server joins
+    max_join_changes: int = msgspec.field(name="join_members_max")  # in one subset
+    leave_subsets: int  # that change if a rate server leaves
     max_leave_changes: int = msgspec.field(name="leave_members_max")
-    same_after_restart: int  # 1: a new process finds the same subsets
-    step_at_servers: int  # the next shorter list with more gateways an endpoint; 0: there is none
-    step_changes_mean: float = msgspec.field(name="step_members_mean")  # of a subset, at this step
+    same_after_restart: int  # 1 if a new process computes the same subsets, else 0
+    step_at_servers: int  # next smaller number with more gateways per endpoint, or 0
+    step_changes_mean: float = msgspec.field(name="step_members_mean")  # per subset, at this step
 
 
-def spread(sizes: Sequence[FleetSize], seed: int) -> Run:
-    """Compute the subsets of whole fleets, and what changes in them; no gateway is simulated."""
+def run_spread(sizes: Sequence[FleetSize], seed: int) -> Run:
+    """Compute the subsets of whole fleets and their changes, without simulating gateways."""
     run = Run("spread", seed, {"sizes": [str(size) for size in sizes]})
     for size in sizes:
         run.add_row(_spread_row(size))
@@ -52,26 +52,26 @@
 def _spread_row(size: FleetSize) -> SpreadRow:
     names = endpoint_names(size.rate_servers + 1)
     subsets = subsets_of_fleet(size.gateways, names[:-1])
-    sharing = _sharing(subsets, names[:-1])
+    distribution = _distribution(subsets, names[:-1])
     lengths = [len(subset) for subset in subsets]
-    mean_load = size.gateways / size.rate_servers  # each gateway hands out one
-    joined = _changes(subsets, subsets_of_fleet(size.gateways, names))
-    left = _changes(subsets, subsets_of_fleet(size.gateways, names[1:-1]))
-    step = _next_step(size, subsets)
+    mean_load = size.gateways / size.rate_servers  # each gateway contributes a load of 1
+    joined = _subset_changes(subsets, subsets_of_fleet(size.gateways, names))
+    left = _subset_changes(subsets, subsets_of_fleet(size.gateways, names[1:-1]))
+    step = _next_replica_step(size, subsets)
     return SpreadRow(
         gateways=size.gateways,
         servers=size.rate_servers,
-        gateways_a_server_min=min(sharing.gateways),
-        gateways_a_server_mean=fmean(sharing.gateways),
-        gateways_a_server_max=max(sharing.gateways),
-        servers_a_gateway_min=min(lengths),
-        servers_a_gateway_mean=fmean(lengths),
-        servers_a_gateway_max=max(lengths),
-        min_load=min(sharing.loads) / mean_load,
-        max_load=max(sharing.loads) / mean_load,
-        join_subsets=joined.subsets,
+        gateways_per_server_min=min(distribution.gateway_counts),
+        gateways_per_server_mean=fmean(distribution.gateway_counts),
+        gateways_per_server_max=max(distribution.gateway_counts),
+        servers_per_gateway_min=min(lengths),
+        servers_per_gateway_mean=fmean(lengths),
+        servers_per_gateway_max=max(lengths),
+        min_load=min(distribution.loads) / mean_load,
+        max_load=max(distribution.loads) / mean_load,
+        join_subsets=joined.changed_subsets,
         max_join_changes=joined.max_endpoints,
-        leave_subsets=left.subsets,
+        leave_subsets=left.changed_subsets,
         max_leave_changes=left.max_endpoints,
         same_after_restart=int(_digest(subsets) == _digest_in_new_process(size)),
         step_at_servers=step.at_rate_servers,
@@ -79,50 +79,51 @@
     )
 
 
-class _Sharing(NamedTuple):
-    gateways: list[int]  # that have an endpoint in their subset, by the endpoint's number
-    loads: list[float]  # of an endpoint, where each gateway spreads a load of 1 evenly
+class _Distribution(NamedTuple):
+    gateway_counts: list[int]  # gateways that have an endpoint in their subset, by its number
+    loads: list[float]  # of each endpoint, if every gateway spreads a load of 1 evenly
 
 
-def _sharing(subsets: Sequence[set[str]], names: Sequence[str]) -> _Sharing:
-    sharing = _Sharing([0] * len(names), [0.0] * len(names))
+def _distribution(subsets: Sequence[set[str]], names: Sequence[str]) -> _Distribution:
+    distribution = _Distribution([0] * len(names), [0.0] * len(names))
     numbers = {name: number for number, name in enumerate(names)}
     for subset in subsets:
         for name in subset:
-            sharing.gateways[numbers[name]] += 1
-            sharing.loads[numbers[name]] += 1.0 / len(subset)
-    return sharing
+            distribution.gateway_counts[numbers[name]] += 1
+            distribution.loads[numbers[name]] += 1.0 / len(subset)
+    return distribution
 
 
-class _Changes(NamedTuple):
-    subsets: int  # subsets that changed
-    max_endpoints: int  # that came to or left one subset
+class _SubsetChanges(NamedTuple):
+    changed_subsets: int
+    max_endpoints: int  # that joined or left one subset
 
 
-def _changes(before: Sequence[set[str]], after: Sequence[set[str]]) -> _Changes:
+def _subset_changes(before: Sequence[set[str]], after: Sequence[set[str]]) -> _SubsetChanges:
     changed = [len(old ^ new) for old, new in zip(before, after, strict=True)]
-    return _Changes(sum(map(bool, changed)), max(changed))
+    return _SubsetChanges(sum(map(bool, changed)), max(changed))
 
 
-class _Step(NamedTuple):
+class _ReplicaStep(NamedTuple):
     at_rate_servers: int
     mean_changes: float
 
 
-def _next_step(size: FleetSize, subsets: Sequence[set[str]]) -> _Step:
-    """Find the next shorter list at which some endpoints have one gateway more, and what that changes.
+def _next_replica_step(size: FleetSize, subsets: Sequence[set[str]]) -> _ReplicaStep:
+    """Find the next shorter endpoint list at which some endpoints have one more gateway.
 
-    The endpoints that stay are the same, so only what the number of gateways an endpoint changes is counted.
+    Only changes among the endpoints that remain are counted, that is, those due to the number of gateways per
+    endpoint.
     """
     replicas, count = gateways_per_endpoint(size), size.rate_servers - 1
     while count > 0 and gateways_per_endpoint(FleetSize(size.gateways, count, 0.0)) == replicas:
         count -= 1
     if count <= 0:
-        return _Step(0, 0.0)
+        return _ReplicaStep(0, 0.0)
     remaining = endpoint_names(count)
     after, known = subsets_of_fleet(size.gateways, remaining), set(remaining)
     changed = fmean(len((old & known) ^ new) for old, new in zip(subsets, after, strict=True))
-    return _Step(count, changed)
+    return _ReplicaStep(count, changed)
 
 
 def _digest(subsets: Sequence[set[str]]) -> str:
@@ -130,14 +131,14 @@
 
 
 def subsets_digest(gateways: int, rate_servers: int) -> str:
-    """A digest of all subsets of such a fleet, to compare between processes."""
+    """Return a digest of all subsets of a fleet, to compare between processes."""
     return _digest(subsets_of_fleet(gateways, endpoint_names(rate_servers)))
 
 
 def _digest_in_new_process(size: FleetSize) -> str:
-    """The digest from a new process, which hashes strings with another seed."""
+    """Compute the digest in a new process, whose string hashes have a different seed."""
     arguments = f"{size.gateways}, {size.rate_servers}"
     code = f"from {__name__} import subsets_digest; print(subsets_digest({arguments}))"
     command = [sys.executable, "-c", code]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=DIGEST_TIMEOUT_S, check=True)
-    return done.stdout.strip()
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=DIGEST_TIMEOUT_S, check=True)
+    return completed.stdout.strip()
--- a/rushroad/bench/simulated/subsets.py
+++ b/rushroad/bench/simulated/subsets.py
@@ -1,4 +1,4 @@
-"""The subsets of a whole fleet, by the policy's own rule."""
+"""The subsets of a whole fleet, computed by the policy's algorithm."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def gateways_per_endpoint(size: FleetSize) -> float:
-    """How many gateways share an endpoint in the mean."""
+    """Return the mean number of gateways that share an endpoint."""
     return subsetting.mean_replicas(size.gateways, size.rate_servers)
 
 
 def gateways_of_endpoint(size: FleetSize) -> GatewaysOfEndpoint:
-    """The gateways that may send to an endpoint, by its name, in a fleet of this size."""
+    """Return a function from an endpoint's name to the gateways that may send to it."""
     replicas = gateways_per_endpoint(size)
     if replicas >= size.gateways:
         return lambda _name: range(size.gateways)
@@ -25,7 +25,7 @@
 
 
 def subsets_of_fleet(gateways: int, endpoints: Sequence[str]) -> list[set[str]]:
-    """The endpoints that each gateway may send to, by the gateway's index."""
+    """Return the endpoints that each gateway may send to, by gateway index."""
     gateways_of = gateways_of_endpoint(FleetSize(gateways, len(endpoints), 0.0))
     subsets = [set[str]() for _ in range(gateways)]
     for endpoint in endpoints:
@@ -35,5 +35,5 @@
 
 
 def endpoint_names(count: int) -> list[str]:
-    """The addresses of the first rate servers."""
+    """Return the addresses of the first `count` rate servers."""
     return [endpoint_name(number) for number in range(count)]
--- a/tests/bench/conftest.py
+++ b/tests/bench/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the bench's tests."""
+"""Fixtures of the benchmark tests."""
 
 from collections.abc import Iterator
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def stand_ins() -> Iterator[Worker]:
-    """The stand-ins' process, before its first command."""
+    """The process of the stand-ins, before its first command."""
     with Worker("rushroad.bench.stand_ins") as process:
         yield process
 
@@ -24,11 +24,11 @@
 
 @pytest.fixture
 def addresses(stand_ins: Worker, start_command: StartStandIns) -> StandInAddresses:
-    """The addresses of the stand-ins, started."""
+    """The addresses of the started stand-ins."""
     return stand_ins.call(start_command, StandInAddresses)
 
 
 @pytest.fixture
-def quiet_fleet() -> Fleet:
-    """One gateway before one rate server, without requests while a test lasts."""
+def idle_fleet() -> Fleet:
+    """One gateway and one rate server, with a request rate so low that no request is sent during a test."""
     return Fleet(FleetSize(1, 1, 0.0001), seed=1)
--- a/tests/bench/simulated/test_fleet.py
+++ b/tests/bench/simulated/test_fleet.py
@@ -1,11 +1,11 @@
-"""Simulated fleets on the virtual clock."""
+"""Simulated fleets on the virtual clock: outcomes, repeatability and subsets."""
 
 import pytest
 
 from rushroad.bench.fleet_size import parse_fleet_size
 from rushroad.bench.simulated.fleet import Fleet
 from rushroad.bench.simulated.policy_observer import ready_endpoints
-from rushroad.bench.simulated.simulation import SECOND, Tally
+from rushroad.bench.simulated.simulation import SECOND, Metric
 from rushroad.bench.simulated.subsets import subsets_of_fleet
 
 
@@ -14,15 +14,15 @@
     return Fleet(parse_fleet_size("6/12"), seed=1)
 
 
-def test_a_fleet_without_faults_serves_all_requests(fleet: Fleet) -> None:
+def test_fleet_without_faults_serves_all_requests(fleet: Fleet) -> None:
     fleet.run(10 * SECOND)
     counts = fleet.simulation.counts(0, 10)
-    assert counts[Tally.REQUESTS] > 500
-    assert counts[Tally.SERVED] > 0.98 * (counts[Tally.REQUESTS] - 40)
-    assert counts[Tally.FAILED] == counts[Tally.CRASHES] == counts[Tally.UNAVAILABLE] == 0
+    assert counts[Metric.REQUESTS] > 500
+    assert counts[Metric.SERVED] > 0.98 * (counts[Metric.REQUESTS] - 40)
+    assert counts[Metric.FAILED] == counts[Metric.CRASHES] == counts[Metric.UNAVAILABLE] == 0
 
 
-def test_the_same_seed_gives_the_same_run_and_another_one_does_not() -> None:
+def test_runs_are_equal_for_the_same_seed_only() -> None:
     fleets = [Fleet(parse_fleet_size("6/12"), seed=seed) for seed in (3, 3, 4)]
     for fleet in fleets:
         fleet.run(4 * SECOND)
@@ -30,7 +30,7 @@
     assert counts[0] == counts[1] != counts[2]
 
 
-def test_each_request_ends_once_through_restarts_silence_and_a_counter_that_is_down(fleet: Fleet) -> None:
+def test_every_request_ends_once_despite_restarts_silent_servers_and_counter_failure(fleet: Fleet) -> None:
     fleet.run(3 * SECOND)
     servers, gateways = list(fleet.rate_servers.values()), list(fleet.gateways.values())
     fleet.counter.down = servers[0].silent = servers[1].down = True
@@ -40,13 +40,13 @@
     fleet.run(5 * SECOND)
     counts = fleet.simulation.counts(0, 13)
     pending = sum(len(gateway.pending) for gateway in gateways)
-    ended = (Tally.SERVED, Tally.REJECTED, Tally.FAILED, Tally.LOST)
-    assert counts[Tally.REQUESTS] == sum(counts[tally] for tally in ended) + pending
-    assert counts[Tally.LOST] > 0
-    assert counts[Tally.UNAVAILABLE] > 0
+    ended = (Metric.SERVED, Metric.REJECTED, Metric.FAILED, Metric.LOST)
+    assert counts[Metric.REQUESTS] == sum(counts[metric] for metric in ended) + pending
+    assert counts[Metric.LOST] > 0
+    assert counts[Metric.UNAVAILABLE] > 0
 
 
-def test_gateways_keep_to_the_subsets_that_are_computed_for_the_fleet() -> None:
+def test_gateways_use_the_subsets_computed_for_the_fleet() -> None:
     fleet = Fleet(parse_fleet_size("40/300"), seed=1)
     fleet.run(1 * SECOND)
     expected = subsets_of_fleet(40, list(fleet.rate_servers))
