--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -15,18 +15,18 @@
 from tests.support.watch import (
     LONG_LIST_VERSION,
     RESPONSE_HEAD,
-    Watch,
+    WatchHarness,
     chunk,
     list_line,
     long_list,
-    play_watch,
+    run_watch_scenario,
 )
 
 pytestmark = pytest.mark.usefixtures("fresh_log")
 
 
 def test_ended_watch_resumes_from_its_version_and_a_reset_sends_a_snapshot() -> None:
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
         watch.peer.writers[0].transport.abort()
@@ -34,7 +34,7 @@
         assert b"from=77 " in await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(90, reset=True)))
         assert (await watch.next_update()).kind is UpdateKind.SNAPSHOT
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -52,12 +52,12 @@
 def test_response_without_an_endpoint_list_is_followed_by_another_watch(
     reply: bytes, logged: int, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(reply)
         assert b"from=41 " in await watch.next_request()
         assert not watch.updates
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
     line = "rushroad: discovery sent a watch response that can't be read; closing it and opening another: "
     assert capfd.readouterr().err.count(line) == logged
 
@@ -67,7 +67,7 @@
 ) -> None:
     monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT_S", 60.0)
 
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         def fail_on_a_later_part(update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
             if update.first:
                 watch.on_update(update, listed)
@@ -81,7 +81,7 @@
         watch.peer.writers[-1].write(RESPONSE_HEAD + chunk(list_line(43)))
         await watch.wait_for_version(43)
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 def test_failing_watches_back_off_until_one_receives_a_list(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -93,7 +93,7 @@
         pauses.append(pause)
         await sleep(0)
 
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         for _ in range(8):
             await watch.peer.answer(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
             assert (await watch.peer.hear())[1] == b""
@@ -105,7 +105,7 @@
         await watch.peer.hear()
 
     monkeypatch.setattr("rushroad.proxy.discovery.asyncio.sleep", record_pause)
-    play_watch(scenario)
+    run_watch_scenario(scenario)
     first, longest = discovery_module.INITIAL_RECONNECT_DELAY_S, discovery_module.MAX_RECONNECT_DELAY_S
     expected = [min(longest, first * 2**n) for n in range(8)] + [first]
     assert all(limit / 2 <= pause <= limit for pause, limit in zip(pauses, expected, strict=True))
@@ -113,11 +113,11 @@
 
 def test_silent_watch_is_read_until_another_receives_data(monkeypatch: pytest.MonkeyPatch) -> None:
     # What a silent watch misses counts as notified soon after; what it sends after all is no less true.
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(42)))
         await watch.next_update()
-        writer, heard = await watch.peer.hear()  # nothing was closed before that
-        assert b"from=42 " in heard
+        writer, data = await watch.peer.hear()  # nothing was closed before that
+        assert b"from=42 " in data
         monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT_S", 9.0)
         watch.peer.writers[0].write(chunk(list_line(43)))
         assert (await watch.next_update()).version == 43
@@ -130,15 +130,15 @@
     # Over two heartbeats, with time to open another watch before an update counts as notified.
     assert 2 * 2.0 < discovery_module.SILENCE_TIMEOUT_S < 6.0 - 1.0
     monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT_S", 0.05)
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 def test_unanswered_watch_stays_open_beside_the_next_and_either_may_be_answered() -> None:
     # An agent that is back after an outage answers at once, perhaps on a connection it had accepted before.
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         first, _ = await watch.peer.hear()
-        second, heard = await watch.peer.hear()
-        assert heard.startswith(b"GET ")
+        second, data = await watch.peer.hear()
+        assert data.startswith(b"GET ")
         assert second is not first
         first.write(RESPONSE_HEAD + chunk(list_line(42)))
         assert (await watch.next_update()).version == 42
@@ -148,7 +148,7 @@
 
     # The shortest drain grace that the settings have had.
     assert discovery_module.RESPONSE_TIMEOUT_S + discovery_module.MAX_RECONNECT_DELAY_S <= 0.5
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 def test_pending_watches_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -157,29 +157,29 @@
     monkeypatch.setattr(discovery_module, "INITIAL_RECONNECT_DELAY_S", 0.001)
     limit = discovery_module.MAX_PENDING_WATCHES
 
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         opened = closed = 0
         while opened < 3 * limit or closed < limit:
-            heard = (await watch.peer.hear())[1]
-            opened, closed = opened + (heard != b""), closed + (heard == b"")
+            data = (await watch.peer.hear())[1]
+            opened, closed = opened + (data != b""), closed + (data == b"")
             assert len(watch.discovery._pending_watches) <= limit
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 def test_watch_with_a_response_head_but_no_body_is_not_established() -> None:
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD)
         assert b"from=41 " in await watch.next_request()
         assert watch.discovery._watch is None
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 @pytest.mark.parametrize("end", [b"zz\r\n", b"", chunk(b"\n\n"), chunk(list_line(51))])
 def test_list_that_breaks_off_has_no_last_part_and_is_requested_again(end: bytes) -> None:
     # No endpoint is removed because the list doesn't name it; but what came, also drains, stays valid.
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         text = long_list()
         cut = text[: text.index(b'{"instanceId": "s-9000"')].rstrip(b", ")
         await watch.peer.answer(RESPONSE_HEAD + chunk(cut) + end)
@@ -190,11 +190,11 @@
         assert not any(update.last for update in watch.updates)
         assert watch.discovery.version == 41
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 def test_older_version_never_undoes_a_newer_one(capfd: pytest.CaptureFixture[str]) -> None:
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(45, lifecycle="DRAINING")))
         assert (await watch.next_update()).endpoints[0].state is EndpointState.DRAINING
         async with Peer() as other:  # moved to an agent that lags behind
@@ -205,13 +205,13 @@
             assert watch.discovery.version == 46
             watch.discovery.close()
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
     line = "rushroad: discovery sent endpoint list version 44, older than 45; keeping the newer one\n"
     assert capfd.readouterr().err == 2 * line
 
 
 def test_older_long_list_is_ignored() -> None:
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         assert LONG_LIST_VERSION < 60
         await watch.peer.answer(
             RESPONSE_HEAD + chunk(list_line(60)) + chunk(long_list()) + chunk(list_line(61))
@@ -219,7 +219,7 @@
         await watch.wait_for_version(61)
         assert [update.version for update in watch.updates] == [60, 61]
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 def test_drains_of_a_list_that_broke_off_are_not_undone_by_an_older_list() -> None:
@@ -228,7 +228,7 @@
         text = json.dumps({"generation": version, "reset": True, "instances": listed})
         return chunk(text.removesuffix("]}").encode() + end.encode())
 
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + cut_list(50, "DRAINING", "\n\n"))
         assert b"from=41 " in await watch.next_request()
         older = cut_list(49, "SERVING", "]}\n") + chunk(list_line(49, instanceId="y"))
@@ -243,7 +243,7 @@
             [("s-1", EndpointState.READY)],
         ]
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 def test_connect_that_completes_after_a_move_sends_no_request() -> None:
@@ -266,7 +266,7 @@
 
 
 def test_move_watches_at_the_new_address_from_the_current_version() -> None:
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
         async with Peer() as other:
@@ -278,13 +278,13 @@
             assert len(other.writers) == 1
             watch.discovery.close()
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 def test_old_watch_is_read_until_the_new_address_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_module, "INITIAL_RECONNECT_DELAY_S", 0.01)
 
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
         watch.discovery.set_address((LOCAL, 1))  # connection refused
@@ -293,4 +293,4 @@
         watch.discovery.set_address((LOCAL, watch.peer.port))
         assert b"from=78 " in await watch.peer.answer(RESPONSE_HEAD)
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -14,12 +14,12 @@
     LONG_LIST_SIZE,
     LONG_LIST_VERSION,
     RESPONSE_HEAD,
-    Watch,
+    WatchHarness,
     chunk,
     list_line,
     long_list,
     long_list_with_its_version_last,
-    play_watch,
+    run_watch_scenario,
 )
 
 pytestmark = pytest.mark.usefixtures("fresh_log")
@@ -28,7 +28,7 @@
 
 
 def test_lists_are_decoded_however_their_lines_are_cut_into_chunks() -> None:
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         data = await watch.peer.answer(RESPONSE_HEAD)
         assert data.startswith(b"GET /v1/servers?watch=1&from=41 HTTP/1.1\r\nHost: ")
         text = b"\n" + list_line(42) + b"\n" + list_line(43, lifecycle="DRAINING")
@@ -42,20 +42,24 @@
         assert listed == [(endpoint, (LOCAL, 81))]
         assert (await watch.next_update()).endpoints[0].state is EndpointState.DRAINING
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 @pytest.mark.parametrize("indent", [None, 2])
 @pytest.mark.parametrize("reset", [True, False])
 def test_long_list_comes_in_parts_that_each_have_a_turn_of_the_loop(reset: bool, indent: int | None) -> None:
-    async def scenario(watch: Watch) -> None:
-        watch.count_turns()
+    async def scenario(watch: WatchHarness) -> None:
+        watch.count_loop_iterations()
         await watch.peer.answer(RESPONSE_HEAD + chunk(long_list(reset=reset, indent=indent)))
         await watch.wait_for_version(LONG_LIST_VERSION)
         updates = watch.updates
         assert watch.endpoint_names() == [f"s-{n}" for n in range(LONG_LIST_SIZE)]
         assert max(len(update.endpoints) for update in updates) <= MAX_ENDPOINTS_PER_PART
-        assert len(set(watch.turns)) == len(watch.turns) >= LONG_LIST_SIZE / MAX_ENDPOINTS_PER_PART
+        assert (
+            len(set(watch.update_iterations))
+            == len(watch.update_iterations)
+            >= LONG_LIST_SIZE / MAX_ENDPOINTS_PER_PART
+        )
         assert updates[-1].last
         listed = [endpoint for update in updates for endpoint in update.endpoints]
         draining = [endpoint.name for endpoint in listed if endpoint.state is EndpointState.DRAINING]
@@ -67,29 +71,29 @@
         else:  # each is whole in itself
             assert {(u.kind, u.first, u.last) for u in updates} == {(UpdateKind.DELTA, True, True)}
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 def test_many_short_lists_that_come_together_have_a_turn_of_the_loop_each() -> None:
-    async def scenario(watch: Watch) -> None:
-        watch.count_turns()
+    async def scenario(watch: WatchHarness) -> None:
+        watch.count_loop_iterations()
         await watch.peer.answer(RESPONSE_HEAD + chunk(b"".join(list_line(42 + n) for n in range(100))))
         await watch.wait_for_version(141)
-        assert len(set(watch.turns)) == len(watch.turns) == 100
+        assert len(set(watch.update_iterations)) == len(watch.update_iterations) == 100
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 def test_list_with_its_version_last_is_buffered_until_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(watch: Watch) -> None:
-        watch.count_turns()
+    async def scenario(watch: WatchHarness) -> None:
+        watch.count_loop_iterations()
         text = long_list_with_its_version_last()
         run_turns: list[int] = []
         next_run = JsonSplitter.next_run
 
         def record_turn(splitter: JsonSplitter) -> JsonRun | None:
             run = next_run(splitter)
-            run_turns.extend([watch.turn] if run is not None else [])
+            run_turns.extend([watch.loop_iteration] if run is not None else [])
             return run
 
         monkeypatch.setattr(JsonSplitter, "next_run", record_turn)
@@ -105,7 +109,7 @@
         first, last = watch.updates[0], watch.updates[-1]
         assert [(first.first, first.last), (last.first, last.last)] == [(True, False), (False, True)]
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -115,14 +119,14 @@
 def test_list_too_long_for_the_memory_limit_ends_the_watch_with_one_log_line(
     text: bytes, min_passed_on: int, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(text))
         assert b"from=41 " in await watch.next_request()
         assert (len(watch.endpoint_names()) > min_passed_on) is (min_passed_on > 0)
         assert len(watch.endpoint_names()) < LONG_LIST_SIZE / 2
         assert not any(update.last for update in watch.updates)
 
-    play_watch(scenario, memory_limit=6 << 20)
+    run_watch_scenario(scenario, memory_limit=6 << 20)
     err = capfd.readouterr().err
     assert err.count("more than the memory limit allows") == err.count("\n") == 1
 
@@ -130,7 +134,7 @@
 @pytest.mark.parametrize("step", [1, 7, 100_000])
 @pytest.mark.parametrize("text", [INDENTED, b"\r\n" + INDENTED.replace(b"\n", b"\r\n"), INDENTED.strip()])
 def test_list_may_be_indented_and_come_in_pieces(text: bytes, step: int) -> None:
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD)
         for start in range(0, len(text), step):
             watch.peer.writers[0].write(chunk(text[start : start + step]))
@@ -139,7 +143,7 @@
         watch.peer.writers[0].write(chunk(b"\n" + list_line(43)))
         assert (await watch.next_update()).version == 43
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -147,17 +151,17 @@
     [INDENTED + list_line(43), list_line(42).strip() + list_line(43), list_line(42) + list_line(43)[:-1]],
 )
 def test_lists_that_come_together_are_all_decoded(text: bytes) -> None:
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(text))
         assert [(await watch.next_update()).version for _ in range(2)] == [42, 43]
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 @pytest.mark.parametrize("rest", [b"\n\n", list_line(43), INDENTED, b"]}\n"])
 def test_list_that_breaks_off_within_an_entry_ends_the_watch(rest: bytes) -> None:
     # What follows would be taken for the rest of it, for as long as heartbeats keep the watch open.
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(
             RESPONSE_HEAD + chunk(list_line(42)) + chunk(CUT_OFF.rstrip(b" ")) + chunk(rest)
         )
@@ -165,7 +169,7 @@
         assert b"from=42 " in await watch.next_request()
         assert watch.queue.empty()
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -186,13 +190,13 @@
 )
 def test_malformed_list_changes_nothing_and_the_watch_is_opened_again(fields: dict[str, Any]) -> None:
     # Taken for what it seems, it would remove all endpoints, or make all later updates look old.
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         text = json.dumps(json.loads(list_line(42)) | fields).encode() + b"\n"
         await watch.peer.answer(RESPONSE_HEAD + chunk(text))
         assert b"from=41 " in await watch.next_request()
         assert not watch.updates
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 @pytest.mark.parametrize("lifecycle", ["DRAINING", "DELETED"])
@@ -202,20 +206,20 @@
 def test_draining_or_removed_endpoint_is_passed_on_whatever_its_other_fields(
     lifecycle: str, fields: dict[str, Any]
 ) -> None:
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(44, lifecycle=lifecycle, **fields)))
         (endpoint,) = (await watch.next_update()).endpoints
         assert (endpoint.name, endpoint.state) == ("s-1", ENDPOINT_STATES[lifecycle])
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 def test_removed_endpoint_needs_no_address() -> None:
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(44, lifecycle="DELETED", hostPort="")))
         assert (await watch.next_update()).endpoints[0].state is EndpointState.REMOVED
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -236,7 +240,7 @@
     fields: dict[str, Any], capfd: pytest.CaptureFixture[str]
 ) -> None:
     # Otherwise the watch would end at that list, now and each time it resumes from the version before.
-    async def scenario(watch: Watch) -> None:
+    async def scenario(watch: WatchHarness) -> None:
         text = json.loads(list_line(44))
         text["instances"] += [text["instances"][0] | {"instanceId": "s-2"} | fields, 3]
         await watch.peer.answer(
@@ -246,5 +250,5 @@
             assert [endpoint.name for endpoint in (await watch.next_update()).endpoints] == ["s-1"]
         assert watch.discovery.version == 45
 
-    play_watch(scenario)
+    run_watch_scenario(scenario)
     assert capfd.readouterr().err.count("entry that can't be read; skipping it") == 2
--- a/tests/proxy/test_endpoint_lists.py
+++ b/tests/proxy/test_endpoint_lists.py
@@ -13,9 +13,9 @@
 from rushroad.proxy.engine import Attempt, Engine
 from rushroad.proxy.upstream import Upstream
 from rushroad.proxy.upstream_connection import UpstreamConnection
-from tests.support.attempts import FAST, OK, request_in_flight
+from tests.support.attempts import ATTEMPT_SETTINGS, OK, request_in_flight
 from tests.support.loopback import LOCAL, Peer, RecordingEngine, run
-from tests.support.watch import LONG_LIST_SIZE, RESPONSE_HEAD, Watch, chunk, play_watch
+from tests.support.watch import LONG_LIST_SIZE, RESPONSE_HEAD, WatchHarness, chunk, run_watch_scenario
 
 pytestmark = pytest.mark.usefixtures("no_settle_time")
 
@@ -26,7 +26,9 @@
     def __init__(self, peer: Peer, max_connections: int = 100) -> None:
         self.engine, self.peer, self.count = RecordingEngine(), peer, 0
         loop = asyncio.get_running_loop()
-        self.upstream = Upstream(cast(Engine, self.engine), FAST, 60_000_000, max_connections, loop)
+        self.upstream = Upstream(
+            cast(Engine, self.engine), ATTEMPT_SETTINGS, 60_000_000, max_connections, loop
+        )
 
     def update(
         self,
@@ -50,14 +52,14 @@
     async def send_and_answer(self, number: int) -> asyncio.StreamWriter:
         """Send an attempt and have it answered; return the peer's end of its connection."""
         self.send(number)
-        while not (heard := await self.peer.hear())[1]:
+        while not (received := await self.peer.hear())[1]:
             pass
-        heard[0].write(OK)
+        received[0].write(OK)
         assert await self.result() is Result.OK
-        return heard[0]
+        return received[0]
 
 
-def play_sender(scenario: Callable[[Sender], Awaitable[None]], max_connections: int = 100) -> None:
+def run_sender_scenario(scenario: Callable[[Sender], Awaitable[None]], max_connections: int = 100) -> None:
     async def start() -> None:
         async with Peer() as peer:
             await scenario(Sender(peer, max_connections))
@@ -77,7 +79,7 @@
         assert not sender.upstream._pools
         await sender.send_and_answer(7)
 
-    play_sender(scenario)
+    run_sender_scenario(scenario)
 
 
 def test_full_list_in_parts_removes_what_none_of_them_names_and_only_at_its_end() -> None:
@@ -94,7 +96,7 @@
         assert await sender.result() is Result.CONNECT_FAILED
         await sender.send_and_answer(LONG_LIST_SIZE - 1)
 
-    play_sender(scenario)
+    run_sender_scenario(scenario)
 
 
 def test_at_the_limit_the_connection_idle_for_longest_is_closed_for_a_new_one() -> None:
@@ -110,7 +112,7 @@
         assert sender.upstream.connection_limit.open_count == 0
         assert not sender.upstream.connection_limit.idle
 
-    play_sender(scenario, max_connections=2)
+    run_sender_scenario(scenario, max_connections=2)
 
 
 @pytest.mark.usefixtures("fresh_log")
@@ -126,8 +128,8 @@
         sent_late.extend({attempt.endpoint} & removed)
         send(connection, attempt, command)
 
-    async def scenario(watch: Watch) -> None:
-        watch.count_turns()
+    async def scenario(watch: WatchHarness) -> None:
+        watch.count_loop_iterations()
         async with Peer() as peer:
             sender, generator = Sender(peer, 1_000), random.Random(2)
             sender.update(range(LONG_LIST_SIZE), True)
@@ -153,11 +155,11 @@
             ]
             assert results.count(Result.CONNECT_FAILED) >= removed_count // 100
             assert max(len(update.endpoints) for update in watch.updates) <= MAX_ENDPOINTS_PER_PART
-            assert len(set(watch.turns)) == len(watch.updates)
+            assert len(set(watch.update_iterations)) == len(watch.updates)
             await sender.send_and_answer(removed_count)
             sender.upstream.close()
 
     monkeypatch.setattr(UpstreamConnection, "send", record_late)
-    play_watch(scenario)
+    run_watch_scenario(scenario)
     assert len(removed) == removed_count
     assert not sent_late
--- a/tests/proxy/test_endpoint_pool.py
+++ b/tests/proxy/test_endpoint_pool.py
@@ -1,11 +1,11 @@
-"""Pools of connections on loopback sockets: which connection an attempt gets, and when idle ones close."""
+"""Connection pools on loopback sockets: which connection an attempt gets, and when idle ones are closed."""
 
 import asyncio
 
 import pytest
 
 from rushroad.policy.events import EndpointState, Result
-from tests.support.attempts import OK, UpstreamHarness, endpoint_at, play_attempts
+from tests.support.attempts import OK, UpstreamHarness, endpoint_at, run_upstream_scenario
 from tests.support.gateway_driver import NOT_IDEMPOTENT
 from tests.support.loopback import Peer
 
@@ -24,19 +24,19 @@
         harness.send()
         assert (await peer.hear())[0] is second
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
-def test_surplus_response_within_the_settle_time_is_not_served_to_the_next_attempt(
+def test_duplicate_response_within_the_settle_time_is_not_served_to_the_next_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A second copy may come in a later read, when the connection would carry another attempt.
+    # The duplicate may arrive in a later read, when the connection would carry another attempt.
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         first, _ = await peer.hear()
         first.write(OK)
         await harness.outcome()
-        harness.send()  # the first connection settles
+        harness.send()  # the first connection is within its settle time
         second, _ = await peer.hear()
         assert second is not first
         first.write(OK)
@@ -45,7 +45,7 @@
         assert (await harness.engine.ended.get())[2] == b"other"
 
     monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME_S", 60.0)
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
 def test_idle_connection_closes_before_the_endpoint_closes_it() -> None:
@@ -54,31 +54,32 @@
         await peer.answer(OK)
         await harness.outcome()
         now = harness.upstream.loop.time()
-        for passed, stays in ((25.0, True), (35.0, False)):  # of the 60 s after which the endpoint closes it
-            harness.upstream.close_idle(now + passed)
+        # The endpoint closes idle connections after 60 s, the gateway after half of that.
+        for idle_s, stays_open in ((25.0, True), (35.0, False)):
+            harness.upstream.close_idle(now + idle_s)
             harness.send()
             writer, data = await peer.hear()
-            assert (data != b"") is stays
-            if stays:
+            assert (data != b"") is stays_open
+            if stays_open:
                 writer.write(OK)
                 await harness.outcome()
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
-def test_removed_endpoint_finishes_its_attempts_and_its_idle_connections_close() -> None:
+def test_removed_endpoint_finishes_its_attempts_and_its_idle_connections_are_closed() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         writer, _ = await peer.hear()
-        harness.upstream.update_endpoints([], True)  # a snapshot without it
+        harness.upstream.update_endpoints([], True)  # a snapshot without the endpoint
         writer.write(OK)
         assert await harness.outcome() == (1, Result.OK)
         assert (await peer.hear())[1] == b""
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
-def test_idle_connections_close_when_their_endpoint_restarts() -> None:
+def test_idle_connections_are_closed_when_their_endpoint_restarts() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         await peer.answer(OK)
@@ -86,10 +87,10 @@
         harness.upstream.update_endpoints(endpoint_at(peer.port, started=7), False)
         assert (await peer.hear())[1] == b""
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
-def test_connection_in_use_closes_after_its_response_when_its_endpoint_restarted() -> None:
+def test_connection_in_use_is_closed_after_its_response_when_its_endpoint_restarted() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         writer, _ = await peer.hear()
@@ -98,13 +99,13 @@
         assert await harness.outcome() == (1, Result.OK)
         assert await peer.hear() == (writer, b"")
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
 @pytest.mark.parametrize("abandoned", [1, 2])
-def test_idle_connections_close_after_two_abandoned_attempts_without_a_byte(abandoned: int) -> None:
-    # The open connections of a machine that vanished say nothing, and end as resets later. A single time-out
-    # is more often mere slowness, and a new connection costs the endpoint work.
+def test_idle_connections_are_closed_after_two_abandoned_attempts_without_data(abandoned: int) -> None:
+    # When a host fails, its connections stay open without traffic, and are reset later. A single time-out is
+    # more often a slow response, and a new connection costs the endpoint work.
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         for _ in range(3):
             harness.send()
@@ -120,16 +121,16 @@
             assert await harness.outcome() == (attempt.request_id, Result.CANCELLED)
             assert (await peer.hear())[1] == b""
         if abandoned == 2:
-            assert (await peer.hear())[1] == b""  # the third, which was idle
+            assert (await peer.hear())[1] == b""  # the third connection, which was idle
         harness.send()
         writer, data = await peer.hear()
         assert data != b""
-        assert (writer in [before for before, _ in received]) is (abandoned == 1)
+        assert (writer in [previous for previous, _ in received]) is (abandoned == 1)
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
-def test_idle_connections_stay_after_one_slow_response_of_an_endpoint_that_responds_to_others() -> None:
+def test_idle_connections_stay_open_after_one_slow_response_of_an_endpoint_that_answers_others() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         first, _ = await peer.hear()
@@ -143,10 +144,10 @@
         harness.send()
         assert (await peer.hear())[0] is first
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
-def test_request_that_is_not_idempotent_gets_a_new_connection_after_resets_of_idle_ones() -> None:
+def test_non_idempotent_request_gets_a_new_connection_after_resets_of_idle_ones() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         for _ in range(3):  # each connection is reset at its second request
             harness.send()
@@ -165,11 +166,11 @@
         assert await respond(peer, OK) is not writer
         assert (await harness.outcome())[1] is Result.OK
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
-def test_pool_of_a_removed_endpoint_goes_when_its_last_attempt_has_ended() -> None:
-    # Endpoints are replaced all day under new names, so pools that stayed would fill the memory.
+def test_pool_of_a_removed_endpoint_is_deleted_after_its_last_attempt() -> None:
+    # Endpoints are constantly replaced under new names, so pools that are kept would fill the memory.
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         upstream = harness.upstream
         harness.send()
@@ -184,12 +185,12 @@
         harness.send()
         assert await harness.outcome() == (2, Result.CONNECT_FAILED)
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
 async def respond(peer: Peer, response: bytes) -> asyncio.StreamWriter:
-    """Respond to the next command; returns the connection that it came on."""
-    while not (came := await peer.hear())[1]:
+    """Respond to the next command; returns the connection on which it arrived."""
+    while not (received := await peer.hear())[1]:
         pass
-    came[0].write(response)
-    return came[0]
+    received[0].write(response)
+    return received[0]
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts on loopback sockets: how each ends, and when nothing may be written."""
+"""Attempts on loopback sockets: the result of each, and when nothing may be written."""
 
 import asyncio
 import errno
@@ -9,7 +9,7 @@
 import pytest
 
 from rushroad.policy.events import EndpointState, Result
-from tests.support.attempts import OK, UpstreamHarness, endpoint_at, play_attempts
+from tests.support.attempts import OK, UpstreamHarness, endpoint_at, run_upstream_scenario
 from tests.support.loopback import LOCAL, DelayedConnectLoop, Peer, resp, run
 
 pytestmark = pytest.mark.usefixtures("no_settle_time")
@@ -17,7 +17,7 @@
 
 def test_refused_connect_is_connect_failed() -> None:
     async def scenario() -> None:
-        with socket.socket() as bound:  # bound, not listening
+        with socket.socket() as bound:  # not listening
             bound.bind((LOCAL, 0))
             harness = UpstreamHarness(bound.getsockname()[1])
             harness.send()
@@ -29,14 +29,14 @@
 def test_timed_out_attempt_closes_its_connection() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
-        await peer.answer(OK)  # the connection is up, so that the time-out can't meet the connect
+        await peer.answer(OK)  # the connection is established, so the time-out can't occur while connecting
         await harness.outcome()
         harness.send(timeout=20_000)
         assert (await peer.hear())[1] != b""
         assert await harness.outcome() == (2, Result.TIMEOUT)
         assert (await peer.hear())[1] == b""
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
 def test_attempt_cancelled_or_timed_out_while_connecting_writes_nothing_later() -> None:
@@ -50,14 +50,15 @@
             pass
         assert received == resp(b"CALL.GET", b"x" * 13)
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_connection_that_comes_up_after_its_endpoint_drains_or_is_removed_carries_nothing(
+def test_connection_established_after_its_endpoint_drains_or_is_removed_is_not_used(
     state: EndpointState,
 ) -> None:
-    # Also within the grace of a drain: it counts from when the agent knew, which a gateway may learn later.
+    # Not even within the grace period of a drain, which starts when the agent learns of the drain: a gateway
+    # may learn of it later.
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send(size=11)
         harness.upstream.update_endpoints(endpoint_at(peer.port, state), False)
@@ -68,11 +69,11 @@
             pass
         assert received == resp(b"CALL.GET", b"x" * 12)
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
-def test_connection_that_comes_up_after_its_endpoint_restarted_is_not_used() -> None:
-    # Another endpoint may be there by then, and what its connection does says nothing of this one.
+def test_connection_established_after_its_endpoint_restarted_is_not_used() -> None:
+    # Another endpoint may have this address by then, so its result must not count for this one.
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         loop = DelayedConnectLoop()
         harness.upstream.loop = cast(asyncio.AbstractEventLoop, loop)
@@ -83,7 +84,7 @@
         assert await harness.outcome() == (1, Result.NOT_FORWARDED)
         assert (await peer.hear())[1] == b""
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
 def test_attempt_beyond_the_connection_limit_is_not_forwarded() -> None:
@@ -95,18 +96,18 @@
         writer.write(OK)
         assert await harness.outcome() == (1, Result.OK)
 
-    play_attempts(scenario, max_connections=1)
+    run_upstream_scenario(scenario, max_connections=1)
 
 
-def test_attempt_without_a_descriptor_left_is_not_forwarded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempt_without_a_free_file_descriptor_is_not_forwarded(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         harness = UpstreamHarness(1)
 
-        async def none_left(*_: object) -> None:
+        async def fail_to_connect(*_: object) -> None:
             raise OSError(errno.EMFILE, "too many open files")
 
         loop = SimpleNamespace(
-            create_connection=none_left,
+            create_connection=fail_to_connect,
             create_task=asyncio.create_task,
             time=harness.upstream.loop.time,
             call_later=asyncio.get_running_loop().call_later,
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Connections on loopback sockets: which bytes close them, and what a break says of the attempt."""
+"""Connections on loopback sockets: which data closes them, and the result of an attempt when one breaks."""
 
 import asyncio
 import socket
@@ -6,7 +6,7 @@
 import pytest
 
 from rushroad.policy.events import Result
-from tests.support.attempts import OK, UpstreamHarness, play_attempts
+from tests.support.attempts import OK, UpstreamHarness, run_upstream_scenario
 from tests.support.loopback import LOCAL, Peer, resp, run
 
 pytestmark = pytest.mark.usefixtures("no_settle_time")
@@ -24,17 +24,17 @@
         b"-BUSY \xff\r\n",
     ],
 )
-def test_connection_closes_after_a_malformed_unknown_or_surplus_response(response: bytes) -> None:
+def test_connection_is_closed_after_a_malformed_unknown_or_duplicate_response(response: bytes) -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         await peer.answer(response)
         await harness.outcome()
         assert (await peer.hear())[1] == b""
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
-def test_idle_connection_closes_when_bytes_come() -> None:
+def test_idle_connection_is_closed_when_data_arrives() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         await peer.answer(OK)
@@ -42,24 +42,24 @@
         peer.writers[0].write(b"+hello\r\n")
         assert (await peer.hear())[1] == b""
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
-def test_break_after_the_last_byte_left_is_a_reset() -> None:
+def test_break_after_the_command_was_written_is_a_reset() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         (await peer.hear())[0].transport.abort()
         assert await harness.outcome() == (1, Result.RESET)
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
-def test_break_before_the_last_byte_left_is_connect_failed() -> None:
+def test_break_before_the_whole_command_was_written_is_connect_failed() -> None:
     async def scenario() -> None:
         with socket.create_server((LOCAL, 0)) as listener:
             listener.setblocking(False)
             harness = UpstreamHarness(listener.getsockname()[1])
-            harness.send(size=32 << 20)  # more than the sockets' buffers hold
+            harness.send(size=32 << 20)  # more than the socket buffers hold
             connection, _ = await asyncio.get_running_loop().sock_accept(listener)
             await asyncio.get_running_loop().sock_recv(connection, 10)
             connection.close()
@@ -69,8 +69,8 @@
 
 
 def test_closing_connection_is_not_used() -> None:
-    # The transport would drop the command, which then counts as a reset: a request that is not idempotent
-    # could not be tried again, although it never left.
+    # The transport would drop the command and the attempt would count as reset, so a request that is not
+    # idempotent could not be retried although it was never sent.
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         await peer.answer(OK)
@@ -84,11 +84,11 @@
         assert received == resp(b"CALL.GET", b"x" * 12)
         assert await harness.outcome() == (2, Result.OK)
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
 def test_connection_with_unread_bytes_is_not_used() -> None:
-    # Where the loop was busy, a surplus response still waits in the socket.
+    # If the event loop was busy, a duplicate response may still be unread in the socket.
     async def scenario() -> None:
         with socket.create_server((LOCAL, 0)) as listener:
             harness = UpstreamHarness(listener.getsockname()[1])
@@ -99,7 +99,7 @@
             assert await loop.sock_recv(endpoint, 100) != b""
             endpoint.send(OK)
             await harness.outcome()
-            endpoint.send(OK)  # and the loop has no turn before the next attempt
+            endpoint.send(OK)  # not read by the event loop before the next attempt
             harness.send(size=12)
             other, _ = await loop.sock_accept(listener)
             assert await loop.sock_recv(other, 100) == resp(b"CALL.GET", b"x" * 12)
--- a/tests/proxy/test_upstream_response.py
+++ b/tests/proxy/test_upstream_response.py
@@ -1,11 +1,11 @@
-"""Responses of endpoints on loopback sockets: the result, value, load report and actual units each gives."""
+"""Endpoints' responses on loopback sockets: the result, value, load report and actual units of each."""
 
 from dataclasses import replace
 
 import pytest
 
 from rushroad.policy.events import Result
-from tests.support.attempts import FAST, OK, UpstreamHarness, play_attempts
+from tests.support.attempts import ATTEMPT_SETTINGS, OK, UpstreamHarness, run_upstream_scenario
 from tests.support.loopback import Peer
 
 
@@ -41,7 +41,7 @@
         (b"$-1\r\n", (Result.ERROR, b"", ())),
     ],
 )
-def test_response_gives_its_result_value_and_load_report(
+def test_response_is_decoded_into_result_value_and_load_report(
     response: bytes, outcome: tuple[Result, bytes, tuple[float, ...]]
 ) -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
@@ -49,7 +49,7 @@
         await peer.answer(response)
         assert (await harness.engine.ended.get())[1:] == outcome
 
-    play_attempts(scenario)
+    run_upstream_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
         (b"cost=0", None),
     ],
 )
-def test_usage_figures_give_the_actual_units_or_none(usage: bytes, units: float | None) -> None:
+def test_usage_figures_are_decoded_into_actual_units_or_none(usage: bytes, units: float | None) -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         await peer.answer(b"*3\r\n$5\r\nvalue\r\n$%d\r\n%b\r\n$-1\r\n" % (len(usage), usage))
@@ -74,4 +74,4 @@
         assert harness.engine.actual_units == [units]
         harness.upstream.close()
 
-    play_attempts(scenario, settings=replace(FAST, settles_units=True))
+    run_upstream_scenario(scenario, settings=replace(ATTEMPT_SETTINGS, settles_units=True))
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -1,4 +1,4 @@
-"""What tests of attempts share: an upstream with one endpoint, responses, and requests of any size."""
+"""Shared by tests of attempts: an upstream with one endpoint, a response, and requests of any size."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,12 +15,12 @@
 from tests.support.loopback import LOCAL, Peer, RecordingEngine, resp, run
 
 OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$18\r\ninflight=7,queue=2\r\n"
-LONG_TIMEOUT_US = 10_000_000  # microseconds
-FAST = replace(SETTINGS, limits=Limits(max_attempts=4, connect_timeout=250_000))
+LONG_TIMEOUT_US = 10_000_000
+ATTEMPT_SETTINGS = replace(SETTINGS, limits=Limits(max_attempts=4, connect_timeout=250_000))
 
 
 class SizedCall:
-    """A client's call with a command of any size."""
+    """A client's call whose command has the given size."""
 
     def __init__(self, size: int = 10, class_index: int = IDEMPOTENT) -> None:
         self.size, self.class_index = size, class_index
@@ -33,51 +33,51 @@
 
 
 def request_in_flight(size: int, class_index: int) -> Any:
-    """A request with a command of any size, as far as an attempt needs one."""
+    """The part of a request that an attempt uses, with a command of the given size."""
     return SimpleNamespace(call=SizedCall(size, class_index))
 
 
 def endpoint_at(
     port: int, state: EndpointState = EndpointState.READY, started: int = 0
 ) -> list[tuple[Endpoint, tuple[str, int]]]:
-    """An update of the endpoint list with one endpoint, s-1, at this port of the loopback device."""
+    """An endpoint list with one endpoint, s-1, at this port of the loopback address."""
     return [(Endpoint("s-1", state, started_at=started), (LOCAL, port))]
 
 
 class UpstreamHarness:
-    """An upstream that knows one endpoint, s-1, and the engine that it reports to."""
+    """An upstream with one endpoint, s-1, and the engine that it reports to."""
 
-    def __init__(self, port: int, max_connections: int = 8, settings: Settings = FAST) -> None:
-        self.engine, self.attempts = RecordingEngine(), 0
+    def __init__(self, port: int, max_connections: int = 8, settings: Settings = ATTEMPT_SETTINGS) -> None:
+        self.engine, self.attempt_count = RecordingEngine(), 0
         loop = asyncio.get_running_loop()
         self.upstream = Upstream(cast(Engine, self.engine), settings, 60_000_000, max_connections, loop)
         self.upstream.update_endpoints(endpoint_at(port), True)
 
     def send(self, timeout: int = LONG_TIMEOUT_US, size: int = 10, class_index: int = IDEMPOTENT) -> Attempt:
-        """Start an attempt of a new request; they count from 1."""
-        self.attempts += 1
+        """Start an attempt of a new request; request ids count from 1."""
+        self.attempt_count += 1
         request = request_in_flight(size, class_index)
-        attempt = Attempt(self.attempts, 0, "s-1", request, self.engine.clock.now())
+        attempt = Attempt(self.attempt_count, 0, "s-1", request, self.engine.clock.now())
         self.upstream.start(attempt, timeout)
         return attempt
 
     def transports(self) -> list[asyncio.Transport]:
-        """The transports of all connections that are up."""
+        """The transports of all open connections."""
         pools = self.upstream._pools.values()
         transports = [connection.transport for pool in pools for connection in pool.connections]
         return [transport for transport in transports if transport is not None]
 
     async def outcome(self) -> tuple[int, Result]:
-        """Wait for an attempt to end: the number of its request, and its result."""
+        """Wait for an attempt to finish; returns the id of its request, and its result."""
         return (await self.engine.ended.get())[:2]
 
 
-def play_attempts(
+def run_upstream_scenario(
     scenario: Callable[[UpstreamHarness, Peer], Awaitable[None]],
     max_connections: int = 8,
-    settings: Settings = FAST,
+    settings: Settings = ATTEMPT_SETTINGS,
 ) -> None:
-    """Play a scenario with an upstream whose one endpoint is a peer."""
+    """Run a scenario with an upstream whose one endpoint is a peer."""
 
     async def start() -> None:
         async with Peer() as peer:
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists for tests of the policy, and settings under which only endpoints limit a gateway."""
+"""Endpoint lists for tests of the policy, and settings with which only the endpoints limit a gateway."""
 
 from dataclasses import replace
 
@@ -11,7 +11,7 @@
 
 
 def ready_endpoints(count: int, cell_size: int = 10) -> tuple[Endpoint, ...]:
-    """Ready endpoints, `cell_size` to a cell."""
+    """Ready endpoints, with `cell_size` of them in each cell."""
     return tuple(
         Endpoint(
             f"10.{number // 62500}.{number // 250 % 250}.{number % 250 + 1}:80",
@@ -23,5 +23,5 @@
 
 
 def usable_names(gateway: Gateway) -> set[str]:
-    """The names of the ready endpoints that a gateway forwards to: its subset and those borrowed."""
+    """The names of the ready endpoints that a gateway forwards to: its subset and borrowed endpoints."""
     return {endpoint.entry.name for endpoint in gateway.endpoints.ready}
--- a/tests/support/watch.py
+++ b/tests/support/watch.py
@@ -1,4 +1,4 @@
-"""A discovery watch on a loopback peer, and texts of endpoint lists as discovery sends them."""
+"""A discovery watch on a loopback peer, and endpoint lists in discovery's JSON format."""
 
 import asyncio
 import json
@@ -12,18 +12,18 @@
 from tests.support.loopback import LOCAL, NAMES, Peer, run
 
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
-CACHED_VERSION = 41  # of the endpoint list that a watch starts from
+CACHED_VERSION = 41  # of the endpoint list from which a watch starts
 LONG_LIST_SIZE = 20_000  # endpoints
 LONG_LIST_VERSION = 50
 
 
 def chunk(data: bytes) -> bytes:
-    """Data as a chunk of a chunked response."""
+    """The data as a chunk of a chunked response."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def list_line(version: int, reset: bool = False, **fields: Any) -> bytes:
-    """A list of one endpoint, s-1, whose fields can be replaced."""
+    """A list with one endpoint, s-1; `fields` replace fields of its entry."""
     entry = {
         "instanceId": "s-1",
         "hostPort": "127.0.0.1:81",
@@ -54,40 +54,40 @@
 
 
 def long_list_with_its_version_last() -> bytes:
-    """The same list with its keys in another order than the protocol page's."""
+    """The same list with its keys in a different order than the protocol specifies."""
     text = {"instances": list_entries(LONG_LIST_SIZE), "reset": True, "generation": LONG_LIST_VERSION}
     return json.dumps(text).encode()
 
 
-class Watch:
-    """A watch on a peer, and the endpoint updates that it has passed on."""
+class WatchHarness:
+    """A watch on a peer, and the endpoint updates that it has reported."""
 
     def __init__(self, peer: Peer, memory_limit: int) -> None:
         loop = asyncio.get_running_loop()
         self.peer = peer
         self.queue: asyncio.Queue[tuple[EndpointUpdate, list[ListedEndpoint]]] = asyncio.Queue()
         self.updates: list[EndpointUpdate] = []
-        self.turns: list[int] = []  # of the loop, in which each of them came
-        self.turn = 0
+        self.update_iterations: list[int] = []  # event loop iteration of each update
+        self.loop_iteration = 0
         address, generator = (LOCAL, peer.port), random.Random(1)
         self.discovery = Discovery(
             address, CACHED_VERSION, NAMES, self.on_update, loop, generator, memory_limit
         )
 
-    def count_turns(self) -> None:
-        """Count turns of the loop from now on."""
-        self.turn += 1
-        asyncio.get_running_loop().call_soon(self.count_turns)
+    def count_loop_iterations(self) -> None:
+        """Count iterations of the event loop from now on."""
+        self.loop_iteration += 1
+        asyncio.get_running_loop().call_soon(self.count_loop_iterations)
 
     def on_update(self, update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
-        """Note an update."""
+        """Record an update."""
         assert update.endpoints == tuple(endpoint for endpoint, _ in listed)
         self.updates.append(update)
-        self.turns.append(self.turn)
+        self.update_iterations.append(self.loop_iteration)
         self.queue.put_nowait((update, listed))
 
     async def next_update(self) -> EndpointUpdate:
-        """The next update that has not been returned yet."""
+        """Wait for the next update."""
         return (await self.queue.get())[0]
 
     async def wait_for_version(self, version: int) -> None:
@@ -97,24 +97,24 @@
             await asyncio.sleep(0)
 
     async def next_request(self) -> bytes:
-        """The next request to the peer; connections that end before it are passed over."""
-        while (heard := (await self.peer.hear())[1]) == b"":
+        """Wait for the next request to the peer, ignoring connections that close before it."""
+        while (data := (await self.peer.hear())[1]) == b"":
             pass
-        return heard
+        return data
 
     def endpoint_names(self) -> list[str]:
-        """The names in all updates."""
+        """The names of the endpoints in all updates."""
         return [endpoint.name for update in self.updates for endpoint in update.endpoints]
 
 
-def play_watch(
-    scenario: Callable[[Watch], Awaitable[None]], memory_limit: int = DEFAULT_MEMORY_LIMIT_BYTES
+def run_watch_scenario(
+    scenario: Callable[[WatchHarness], Awaitable[None]], memory_limit: int = DEFAULT_MEMORY_LIMIT_BYTES
 ) -> None:
-    """Play a scenario on a new watch."""
+    """Run a scenario with a new watch."""
 
     async def start() -> None:
         async with Peer() as peer:
-            watch = Watch(peer, memory_limit)
+            watch = WatchHarness(peer, memory_limit)
             await scenario(watch)
             watch.discovery.close()
 
