--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on a loopback peer: requests, reconnects, silence, moves and the order of versions."""
+"""The watch on a loopback peer: requests, reconnects, silence, address changes and order of versions."""
 
 import asyncio
 import json
@@ -25,7 +25,7 @@
 pytestmark = pytest.mark.usefixtures("fresh_log")
 
 
-def test_ended_watch_resumes_from_its_version_and_a_reset_sends_a_snapshot() -> None:
+def test_new_watch_resumes_from_the_current_version_and_a_reset_sends_a_snapshot() -> None:
     async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
@@ -43,10 +43,10 @@
         (b"what is this\r\n\r\n", 1),
         (b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n", 1),
         (RESPONSE_HEAD + b"zz\r\n", 1),
-        (RESPONSE_HEAD + chunk(b"{nope\n"), 0),  # its end may still come
+        (RESPONSE_HEAD + chunk(b"{nope\n"), 0),  # may be incomplete
         (RESPONSE_HEAD + chunk(b"[]\n"), 1),
         (RESPONSE_HEAD + chunk(b"{}\n"), 1),
-        (RESPONSE_HEAD + b"0\r\n\r\n", 0),  # a proper end
+        (RESPONSE_HEAD + b"0\r\n\r\n", 0),  # a regular end of the response
     ],
 )
 def test_response_without_an_endpoint_list_is_followed_by_another_watch(
@@ -62,7 +62,7 @@
     assert capfd.readouterr().err.count(line) == logged
 
 
-def test_update_that_its_handler_fails_on_is_followed_by_another_watch(
+def test_update_whose_handler_fails_is_followed_by_another_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT_S", 60.0)
@@ -85,12 +85,12 @@
 
 
 def test_failing_watches_back_off_until_one_receives_a_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A fleet whose watches all fail must not ask discovery again at once, all together.
-    pauses: list[float] = []
+    # When the watches of a whole fleet fail, the gateways must not all reconnect at the same time.
+    delays: list[float] = []
     sleep = asyncio.sleep
 
-    async def record_pause(pause: float) -> None:
-        pauses.append(pause)
+    async def record_delay(delay: float) -> None:
+        delays.append(delay)
         await sleep(0)
 
     async def scenario(watch: WatchHarness) -> None:
@@ -104,19 +104,22 @@
         assert (await watch.peer.hear())[1] == b""
         await watch.peer.hear()
 
-    monkeypatch.setattr("rushroad.proxy.discovery.asyncio.sleep", record_pause)
+    monkeypatch.setattr("rushroad.proxy.discovery.asyncio.sleep", record_delay)
     run_watch_scenario(scenario)
-    first, longest = discovery_module.INITIAL_RECONNECT_DELAY_S, discovery_module.MAX_RECONNECT_DELAY_S
-    expected = [min(longest, first * 2**n) for n in range(8)] + [first]
-    assert all(limit / 2 <= pause <= limit for pause, limit in zip(pauses, expected, strict=True))
+    initial_delay, max_delay = (
+        discovery_module.INITIAL_RECONNECT_DELAY_S,
+        discovery_module.MAX_RECONNECT_DELAY_S,
+    )
+    expected = [min(max_delay, initial_delay * 2**n) for n in range(8)] + [initial_delay]
+    assert all(limit / 2 <= delay <= limit for delay, limit in zip(delays, expected, strict=True))
 
 
 def test_silent_watch_is_read_until_another_receives_data(monkeypatch: pytest.MonkeyPatch) -> None:
-    # What a silent watch misses counts as notified soon after; what it sends after all is no less true.
+    # Updates that a silent watch misses soon count as notified; updates that it still sends are valid.
     async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(42)))
         await watch.next_update()
-        writer, data = await watch.peer.hear()  # nothing was closed before that
+        writer, data = await watch.peer.hear()  # the silent watch was not closed before
         assert b"from=42 " in data
         monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT_S", 9.0)
         watch.peer.writers[0].write(chunk(list_line(43)))
@@ -127,14 +130,14 @@
         writer.write(chunk(list_line(44)))
         assert (await watch.next_update()).version == 44
 
-    # Over two heartbeats, with time to open another watch before an update counts as notified.
+    # Longer than two heartbeats, with time to open another watch before an update counts as notified.
     assert 2 * 2.0 < discovery_module.SILENCE_TIMEOUT_S < 6.0 - 1.0
     monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT_S", 0.05)
     run_watch_scenario(scenario)
 
 
 def test_unanswered_watch_stays_open_beside_the_next_and_either_may_be_answered() -> None:
-    # An agent that is back after an outage answers at once, perhaps on a connection it had accepted before.
+    # After an outage an agent answers at once, possibly on a connection accepted before.
     async def scenario(watch: WatchHarness) -> None:
         first, _ = await watch.peer.hear()
         second, data = await watch.peer.hear()
@@ -146,7 +149,7 @@
             pass
         assert ended[0] is not first
 
-    # The shortest drain grace that the settings have had.
+    # The shortest grace period of a drain in any settings so far.
     assert discovery_module.RESPONSE_TIMEOUT_S + discovery_module.MAX_RECONNECT_DELAY_S <= 0.5
     run_watch_scenario(scenario)
 
@@ -177,8 +180,8 @@
 
 
 @pytest.mark.parametrize("end", [b"zz\r\n", b"", chunk(b"\n\n"), chunk(list_line(51))])
-def test_list_that_breaks_off_has_no_last_part_and_is_requested_again(end: bytes) -> None:
-    # No endpoint is removed because the list doesn't name it; but what came, also drains, stays valid.
+def test_incomplete_list_has_no_last_part_and_is_requested_again(end: bytes) -> None:
+    # It removes no endpoint that it doesn't name; its received entries, including drains, stay valid.
     async def scenario(watch: WatchHarness) -> None:
         text = long_list()
         cut = text[: text.index(b'{"instanceId": "s-9000"')].rstrip(b", ")
@@ -193,11 +196,11 @@
     run_watch_scenario(scenario)
 
 
-def test_older_version_never_undoes_a_newer_one(capfd: pytest.CaptureFixture[str]) -> None:
+def test_older_version_never_overrides_a_newer_one(capfd: pytest.CaptureFixture[str]) -> None:
     async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(45, lifecycle="DRAINING")))
         assert (await watch.next_update()).endpoints[0].state is EndpointState.DRAINING
-        async with Peer() as other:  # moved to an agent that lags behind
+        async with Peer() as other:  # an agent with an older version
             watch.discovery.set_address((LOCAL, other.port))
             older = chunk(list_line(44, reset=True)) + chunk(list_line(44))
             await other.answer(RESPONSE_HEAD + older + chunk(list_line(46)))
@@ -222,16 +225,16 @@
     run_watch_scenario(scenario)
 
 
-def test_drains_of_a_list_that_broke_off_are_not_undone_by_an_older_list() -> None:
-    def cut_list(version: int, lifecycle: str, end: str) -> bytes:
+def test_drains_of_an_incomplete_list_are_not_undone_by_an_older_list() -> None:
+    def incomplete_list(version: int, lifecycle: str, end: str) -> bytes:
         listed = [{"instanceId": name, "hostPort": "h:1", "lifecycle": lifecycle} for name in ("s-1", "x")]
         text = json.dumps({"generation": version, "reset": True, "instances": listed})
         return chunk(text.removesuffix("]}").encode() + end.encode())
 
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(RESPONSE_HEAD + cut_list(50, "DRAINING", "\n\n"))
+        await watch.peer.answer(RESPONSE_HEAD + incomplete_list(50, "DRAINING", "\n\n"))
         assert b"from=41 " in await watch.next_request()
-        older = cut_list(49, "SERVING", "]}\n") + chunk(list_line(49, instanceId="y"))
+        older = incomplete_list(49, "SERVING", "]}\n") + chunk(list_line(49, instanceId="y"))
         watch.peer.writers[-1].write(RESPONSE_HEAD + older)
         await watch.wait_for_version(49)
         watch.peer.writers[-1].write(chunk(list_line(50)))
@@ -246,26 +249,26 @@
     run_watch_scenario(scenario)
 
 
-def test_connect_that_completes_after_a_move_sends_no_request() -> None:
+def test_connect_that_completes_after_an_address_change_sends_no_request() -> None:
     async def scenario() -> None:
         async with Peer() as peer, Peer() as other:
-            late = DelayedConnectLoop()
-            loop = cast(asyncio.AbstractEventLoop, late)
-            address, generator = (LOCAL, peer.port), random.Random(1)
+            delayed_loop = DelayedConnectLoop()
+            loop = cast(asyncio.AbstractEventLoop, delayed_loop)
+            address, rng = (LOCAL, peer.port), random.Random(1)
             updates: list[Any] = []
-            discovery = Discovery(address, 41, NAMES, lambda *update: updates.append(update), loop, generator)
-            await late.asked.wait()
+            discovery = Discovery(address, 41, NAMES, lambda *update: updates.append(update), loop, rng)
+            await delayed_loop.asked.wait()
             discovery.set_address((LOCAL, other.port))
-            await late.done.wait()
+            await delayed_loop.done.wait()
             assert (await peer.hear())[1] == b""  # closed without a request
-            late.go_on.set()
+            delayed_loop.go_on.set()
             assert b"from=41 " in (await other.hear())[1]
             discovery.close()
 
     run(scenario)
 
 
-def test_move_watches_at_the_new_address_from_the_current_version() -> None:
+def test_address_change_opens_a_watch_at_the_new_address_from_the_current_version() -> None:
     async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as the watch decodes them: in parts, in pieces, malformed, and too long."""
+"""Decoding of endpoint lists from a watch: in parts, from chunks, malformed, and too long."""
 
 import asyncio
 import json
@@ -27,7 +27,7 @@
 CUT_OFF = INDENTED[: INDENTED.index(b'"zone"')]
 
 
-def test_lists_are_decoded_however_their_lines_are_cut_into_chunks() -> None:
+def test_lists_are_decoded_however_their_lines_are_split_into_chunks() -> None:
     async def scenario(watch: WatchHarness) -> None:
         data = await watch.peer.answer(RESPONSE_HEAD)
         assert data.startswith(b"GET /v1/servers?watch=1&from=41 HTTP/1.1\r\nHost: ")
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("indent", [None, 2])
 @pytest.mark.parametrize("reset", [True, False])
-def test_long_list_comes_in_parts_that_each_have_a_turn_of_the_loop(reset: bool, indent: int | None) -> None:
+def test_long_list_is_decoded_in_parts_in_separate_loop_iterations(reset: bool, indent: int | None) -> None:
     async def scenario(watch: WatchHarness) -> None:
         watch.count_loop_iterations()
         await watch.peer.answer(RESPONSE_HEAD + chunk(long_list(reset=reset, indent=indent)))
@@ -68,13 +68,13 @@
             assert {update.kind for update in updates} == {UpdateKind.SNAPSHOT}
             assert [update.first for update in updates] == [True] + [False] * (len(updates) - 1)
             assert [update.last for update in updates] == [False] * (len(updates) - 1) + [True]
-        else:  # each is whole in itself
+        else:  # each part of a delta is complete in itself
             assert {(u.kind, u.first, u.last) for u in updates} == {(UpdateKind.DELTA, True, True)}
 
     run_watch_scenario(scenario)
 
 
-def test_many_short_lists_that_come_together_have_a_turn_of_the_loop_each() -> None:
+def test_many_short_lists_received_at_once_are_decoded_in_separate_loop_iterations() -> None:
     async def scenario(watch: WatchHarness) -> None:
         watch.count_loop_iterations()
         await watch.peer.answer(RESPONSE_HEAD + chunk(b"".join(list_line(42 + n) for n in range(100))))
@@ -88,20 +88,20 @@
     async def scenario(watch: WatchHarness) -> None:
         watch.count_loop_iterations()
         text = long_list_with_its_version_last()
-        run_turns: list[int] = []
+        run_iterations: list[int] = []
         next_run = JsonSplitter.next_run
 
-        def record_turn(splitter: JsonSplitter) -> JsonRun | None:
+        def record_iteration(splitter: JsonSplitter) -> JsonRun | None:
             run = next_run(splitter)
-            run_turns.extend([watch.loop_iteration] if run is not None else [])
+            run_iterations.extend([watch.loop_iteration] if run is not None else [])
             return run
 
-        monkeypatch.setattr(JsonSplitter, "next_run", record_turn)
+        monkeypatch.setattr(JsonSplitter, "next_run", record_iteration)
         await watch.peer.answer(RESPONSE_HEAD + chunk(text[:-20]))
-        while len(run_turns) < len(text) // MAX_RUN_BYTES:
+        while len(run_iterations) < len(text) // MAX_RUN_BYTES:
             await asyncio.sleep(0)
-        assert len(set(run_turns)) == len(run_turns)  # each has a turn of its own
-        assert watch.discovery._watch is not None  # established, though it has passed nothing on
+        assert len(set(run_iterations)) == len(run_iterations)  # separate iterations of the event loop
+        assert watch.discovery._watch is not None  # established, although it has reported no update
         assert not watch.updates
         watch.peer.writers[0].write(chunk(text[-20:]))
         await watch.wait_for_version(LONG_LIST_VERSION)
@@ -113,16 +113,16 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "min_passed_on"),
+    ("text", "min_reported"),
     [(long_list(), 4_000), (long_list_with_its_version_last(), 0)],
 )
 def test_list_too_long_for_the_memory_limit_ends_the_watch_with_one_log_line(
-    text: bytes, min_passed_on: int, capfd: pytest.CaptureFixture[str]
+    text: bytes, min_reported: int, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(text))
         assert b"from=41 " in await watch.next_request()
-        assert (len(watch.endpoint_names()) > min_passed_on) is (min_passed_on > 0)
+        assert (len(watch.endpoint_names()) > min_reported) is (min_reported > 0)
         assert len(watch.endpoint_names()) < LONG_LIST_SIZE / 2
         assert not any(update.last for update in watch.updates)
 
@@ -131,13 +131,13 @@
     assert err.count("more than the memory limit allows") == err.count("\n") == 1
 
 
-@pytest.mark.parametrize("step", [1, 7, 100_000])
+@pytest.mark.parametrize("chunk_size", [1, 7, 100_000])
 @pytest.mark.parametrize("text", [INDENTED, b"\r\n" + INDENTED.replace(b"\n", b"\r\n"), INDENTED.strip()])
-def test_list_may_be_indented_and_come_in_pieces(text: bytes, step: int) -> None:
+def test_list_may_be_indented_and_split_into_chunks(text: bytes, chunk_size: int) -> None:
     async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD)
-        for start in range(0, len(text), step):
-            watch.peer.writers[0].write(chunk(text[start : start + step]))
+        for start in range(0, len(text), chunk_size):
+            watch.peer.writers[0].write(chunk(text[start : start + chunk_size]))
             await asyncio.sleep(0)
         assert (await watch.next_update()).endpoints[0].name == "s-1"
         watch.peer.writers[0].write(chunk(b"\n" + list_line(43)))
@@ -150,7 +150,7 @@
     "text",
     [INDENTED + list_line(43), list_line(42).strip() + list_line(43), list_line(42) + list_line(43)[:-1]],
 )
-def test_lists_that_come_together_are_all_decoded(text: bytes) -> None:
+def test_lists_received_at_once_are_all_decoded(text: bytes) -> None:
     async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(text))
         assert [(await watch.next_update()).version for _ in range(2)] == [42, 43]
@@ -159,8 +159,8 @@
 
 
 @pytest.mark.parametrize("rest", [b"\n\n", list_line(43), INDENTED, b"]}\n"])
-def test_list_that_breaks_off_within_an_entry_ends_the_watch(rest: bytes) -> None:
-    # What follows would be taken for the rest of it, for as long as heartbeats keep the watch open.
+def test_list_that_is_cut_off_within_an_entry_ends_the_watch(rest: bytes) -> None:
+    # Otherwise the text that follows would be taken for its rest, while heartbeats keep the watch open.
     async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(
             RESPONSE_HEAD + chunk(list_line(42)) + chunk(CUT_OFF.rstrip(b" ")) + chunk(rest)
@@ -189,7 +189,7 @@
     ],
 )
 def test_malformed_list_changes_nothing_and_the_watch_is_opened_again(fields: dict[str, Any]) -> None:
-    # Taken for what it seems, it would remove all endpoints, or make all later updates look old.
+    # If accepted, it would remove all endpoints, or make all later updates look old.
     async def scenario(watch: WatchHarness) -> None:
         text = json.dumps(json.loads(list_line(42)) | fields).encode() + b"\n"
         await watch.peer.answer(RESPONSE_HEAD + chunk(text))
@@ -203,7 +203,7 @@
 @pytest.mark.parametrize(
     "fields", [{"hostPort": None}, {"hostPort": "x"}, {"weight": "x"}, {"cell": None}, {"zone": []}]
 )
-def test_draining_or_removed_endpoint_is_passed_on_whatever_its_other_fields(
+def test_draining_or_removed_endpoint_is_reported_even_if_its_other_fields_are_malformed(
     lifecycle: str, fields: dict[str, Any]
 ) -> None:
     async def scenario(watch: WatchHarness) -> None:
@@ -239,7 +239,7 @@
 def test_malformed_entry_is_skipped_and_logged(
     fields: dict[str, Any], capfd: pytest.CaptureFixture[str]
 ) -> None:
-    # Otherwise the watch would end at that list, now and each time it resumes from the version before.
+    # Otherwise the watch would end at that list each time it resumes from the previous version.
     async def scenario(watch: WatchHarness) -> None:
         text = json.loads(list_line(44))
         text["instances"] += [text["instances"][0] | {"instanceId": "s-2"} | fields, 3]
--- a/tests/proxy/test_endpoint_lists.py
+++ b/tests/proxy/test_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as Upstream takes them from the watch: pools, removal, and the limit on connections."""
+"""Endpoint lists applied by Upstream: connection pools, removal, and the connection limit."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 class Sender:
-    """Sends attempts through an Upstream whose endpoints are all one peer."""
+    """Sends attempts through an Upstream whose endpoints all have the address of one peer."""
 
     def __init__(self, peer: Peer, max_connections: int = 100) -> None:
         self.engine, self.peer, self.count = RecordingEngine(), peer, 0
@@ -33,13 +33,13 @@
     def update(
         self,
         numbers: range,
-        is_full: bool,
+        is_snapshot: bool,
         first: bool = True,
         last: bool = True,
         state: EndpointState = EndpointState.READY,
     ) -> None:
         listed = [(Endpoint(f"s-{n}", state), (LOCAL, self.peer.port)) for n in numbers]
-        self.upstream.update_endpoints(listed, is_full, first, last)
+        self.upstream.update_endpoints(listed, is_snapshot, first, last)
 
     def send(self, number: int) -> None:
         self.count += 1
@@ -50,7 +50,7 @@
         return (await self.engine.ended.get())[1]
 
     async def send_and_answer(self, number: int) -> asyncio.StreamWriter:
-        """Send an attempt and have it answered; return the peer's end of its connection."""
+        """Send an attempt and answer it; return the peer's side of its connection."""
         self.send(number)
         while not (received := await self.peer.hear())[1]:
             pass
@@ -67,7 +67,7 @@
     run(start)
 
 
-def test_only_endpoints_with_attempts_have_pools_and_only_while_these_are_needed() -> None:
+def test_only_endpoints_with_attempts_have_pools_and_only_while_the_pools_are_needed() -> None:
     async def scenario(sender: Sender) -> None:
         sender.update(range(LONG_LIST_SIZE), True)
         assert not sender.upstream._pools
@@ -82,16 +82,16 @@
     run_sender_scenario(scenario)
 
 
-def test_full_list_in_parts_removes_what_none_of_them_names_and_only_at_its_end() -> None:
+def test_snapshot_in_parts_removes_unnamed_endpoints_only_after_its_last_part() -> None:
     async def scenario(sender: Sender) -> None:
         sender.update(range(LONG_LIST_SIZE), True)
         await sender.send_and_answer(7)
-        sender.update(range(7), True, last=False)  # breaks off
-        sender.update(range(8, 100), True, last=False)  # begins anew
+        sender.update(range(7), True, last=False)  # never completed
+        sender.update(range(8, 100), True, last=False)  # a new snapshot
         sender.update(range(100, LONG_LIST_SIZE), True, first=False, last=False)
         await sender.send_and_answer(7)
         sender.update(range(0), True, first=False)
-        assert (await sender.peer.hear())[1] == b""  # its idle connection
+        assert (await sender.peer.hear())[1] == b""  # the idle connection of s-7
         sender.send(7)
         assert await sender.result() is Result.CONNECT_FAILED
         await sender.send_and_answer(LONG_LIST_SIZE - 1)
@@ -99,12 +99,12 @@
     run_sender_scenario(scenario)
 
 
-def test_at_the_limit_the_connection_idle_for_longest_is_closed_for_a_new_one() -> None:
+def test_at_the_connection_limit_the_longest_idle_connection_is_closed_for_a_new_one() -> None:
     async def scenario(sender: Sender) -> None:
         sender.update(range(4), True)
         first, second = await sender.send_and_answer(0), await sender.send_and_answer(1)
         assert await sender.send_and_answer(0) is first
-        third = await sender.send_and_answer(2)  # in place of the second
+        third = await sender.send_and_answer(2)  # replaces the second
         assert await sender.send_and_answer(0) is first
         assert await sender.send_and_answer(2) is third
         assert await sender.send_and_answer(1) is not second
@@ -116,22 +116,22 @@
 
 
 @pytest.mark.usefixtures("fresh_log")
-def test_of_thousands_removed_at_once_none_is_sent_anything_after_the_part_that_names_it(
+def test_no_attempt_is_written_to_an_endpoint_after_the_part_of_an_update_that_removes_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     removed_count = 4042
     removed: set[str] = set()
-    sent_late: list[str] = []
+    sent_after_removal: list[str] = []
     send = UpstreamConnection.send
 
-    def record_late(connection: UpstreamConnection, attempt: Attempt, command: bytes) -> None:
-        sent_late.extend({attempt.endpoint} & removed)
+    def record_send(connection: UpstreamConnection, attempt: Attempt, command: bytes) -> None:
+        sent_after_removal.extend({attempt.endpoint} & removed)
         send(connection, attempt, command)
 
     async def scenario(watch: WatchHarness) -> None:
         watch.count_loop_iterations()
         async with Peer() as peer:
-            sender, generator = Sender(peer, 1_000), random.Random(2)
+            sender, rng = Sender(peer, 1_000), random.Random(2)
             sender.update(range(LONG_LIST_SIZE), True)
 
             def remove(update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
@@ -144,7 +144,7 @@
             text = json.dumps({"generation": 50, "reset": False, "instances": entries}).encode()
             await watch.peer.answer(RESPONSE_HEAD + chunk(text))
             while watch.discovery.version != 50 or sender.count < 100:
-                sender.send(generator.randrange(removed_count))  # some are connecting when they are removed
+                sender.send(rng.randrange(removed_count))  # some endpoints are removed while connecting
                 await asyncio.sleep(0)
             await watch.wait_for_version(50)
             for number in range(0, removed_count, 100):
@@ -159,7 +159,7 @@
             await sender.send_and_answer(removed_count)
             sender.upstream.close()
 
-    monkeypatch.setattr(UpstreamConnection, "send", record_late)
+    monkeypatch.setattr(UpstreamConnection, "send", record_send)
     run_watch_scenario(scenario)
     assert len(removed) == removed_count
-    assert not sent_late
+    assert not sent_after_removal
