--- a/rushroad/proxy/json_splitter.py
+++ b/rushroad/proxy/json_splitter.py
@@ -85,7 +85,7 @@
 
 
 class JsonSplitter:
-    """Splits JSON objects, compact or indented, that have an array at the same path.
+    """Splits JSON objects, compact or indented, that each have an array at the same path.
 
     Only text that has not been split yet and the document's other keys are kept in memory.
     """
--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -1,6 +1,6 @@
-"""The upstream side: starts attempts on connections to endpoints, and times out or cancels them.
+"""Starts attempts on connections to endpoints, within the connection limit, and times out or cancels them.
 
-Parameters in microseconds end in `_us`, values in seconds of the event loop's clock in `_s`.
+Times in seconds of the event loop's clock end in `_s`, those in microseconds in `_us`.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class Upstream:
-    """The connection pools of all ready endpoints, and the attempts in flight."""
+    """The connection pools of all endpoints, and the attempts in flight."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self.connection_limit = ConnectionLimit(max_connections)
         self.decoder = ResponseDecoder(settings)
         self.idle_resets = IdleResetRates()
-        self.pools_to_check: set[EndpointPool] = set()  # removed by the next idle sweep unless still needed
+        self.pools_to_check: set[EndpointPool] = set()  # the next idle sweep removes unneeded ones
         self._engine = engine
         self._connect_timeout_s = settings.limits.connect_timeout / 1e6
         self._max_idle_s = idle_timeout_us / 1e6 * IDLE_TIMEOUT_FRACTION
--- a/tests/support/watch.py
+++ b/tests/support/watch.py
@@ -69,10 +69,8 @@
         self.updates: list[EndpointUpdate] = []
         self.update_iterations: list[int] = []  # event loop iteration of each update
         self.loop_iteration = 0
-        address, generator = (LOCAL, peer.port), random.Random(1)
-        self.discovery = Discovery(
-            address, CACHED_VERSION, NAMES, self.on_update, loop, generator, memory_limit
-        )
+        address, rng = (LOCAL, peer.port), random.Random(1)
+        self.discovery = Discovery(address, CACHED_VERSION, NAMES, self.on_update, loop, rng, memory_limit)
 
     def count_loop_iterations(self) -> None:
         """Count iterations of the event loop from now on."""
