--- a/rushroad/bench/stand_ins/counter.py
+++ b/rushroad/bench/stand_ins/counter.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple, cast
 
 from rushroad.bench.commands import CounterFigures, CounterMode
-from rushroad.bench.stand_ins.replies import Replies
+from rushroad.bench.stand_ins.replies import ReplyQueue
 
 MAX_NAME_BYTES = 64
 MAX_AMOUNT = 1e9
@@ -44,12 +44,12 @@
         self._counter = counter
         self._rest = b""  # of a line that has not come whole
         self._transport: asyncio.Transport
-        self._replies: Replies
+        self._replies: ReplyQueue
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection."""
         self._transport = cast(asyncio.Transport, transport)
-        self._replies = Replies(self._transport)
+        self._replies = ReplyQueue(self._transport)
         self._counter.figures.connects += 1
 
     def data_received(self, data: bytes) -> None:
@@ -65,9 +65,9 @@
         reply, answer = self._replies.reserve(), self._counter.answer(line)
         if answer.mode is CounterMode.SLOW:
             delay_s = self._counter.slow_delay_s
-            self._counter.loop.call_later(delay_s, self._replies.fill, reply, answer.text)
+            self._counter.loop.call_later(delay_s, self._replies.complete, reply, answer.text)
         elif answer.mode is not CounterMode.DOWN:
-            self._replies.fill(reply, answer.text)
+            self._replies.complete(reply, answer.text)
 
 
 class Counter:
--- a/rushroad/bench/stand_ins/rate_servers.py
+++ b/rushroad/bench/stand_ins/rate_servers.py
@@ -11,7 +11,7 @@
 from typing import cast
 
 from rushroad.bench.commands import RateServerFigures
-from rushroad.bench.stand_ins.replies import Replies, Reply
+from rushroad.bench.stand_ins.replies import PendingReply, ReplyQueue
 from rushroad.proxy import resp
 
 FIRST_ADDRESS = int(IPv4Address("127.64.0.0"))  # of rate server 0; the others follow, up to 127.127.255.255
@@ -37,13 +37,13 @@
         self._rate_servers = rate_servers
         self._reader = resp.Reader(MAX_WORDS)
         self._transport: asyncio.Transport
-        self._replies: Replies
+        self._replies: ReplyQueue
         self._number = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection."""
         self._transport = cast(asyncio.Transport, transport)
-        self._replies = Replies(self._transport)
+        self._replies = ReplyQueue(self._transport)
         self._number = int(IPv4Address(transport.get_extra_info("sockname")[0])) - FIRST_ADDRESS
         self._rate_servers.figures.connects += 1
         self._rate_servers.figures.open_connections += 1
@@ -65,21 +65,21 @@
     def _handle(self, words: list[bytes]) -> None:
         reply, rate_servers = self._replies.reserve(), self._rate_servers
         if words[0] not in WORDS_OF_COMMAND:
-            self._replies.fill(reply, OTHER_REPLIES.get(words[0], b"-ERR unknown command\r\n"))
+            self._replies.complete(reply, OTHER_REPLIES.get(words[0], b"-ERR unknown command\r\n"))
         elif len(words) != WORDS_OF_COMMAND[words[0]]:
             rate_servers.figures.syntax_errors += 1
-            self._replies.fill(reply, b"-SYNTAX\r\n")
+            self._replies.complete(reply, b"-SYNTAX\r\n")
         else:
             rate_servers.count_attempt(self._number)
             began_ns = time.monotonic_ns()
             rate_servers.loop.call_later(rate_servers.work_s, self._serve, reply, words[2], began_ns)
 
-    def _serve(self, reply: Reply, request_id: bytes, began_ns: int) -> None:
+    def _serve(self, reply: PendingReply, request_id: bytes, began_ns: int) -> None:
         """Answer with the request's id and the work in microseconds as measured: the timer is coarse."""
         value = b"%b %d" % (request_id, (time.monotonic_ns() - began_ns) // 1_000)
         if not self._transport.is_closing():
             answer = b"*3\r\n$%d\r\n%b\r\n$-1\r\n%b" % (len(value), value, self._rate_servers.load_report())
-            self._replies.fill(reply, answer)
+            self._replies.complete(reply, answer)
 
 
 class RateServers:
--- a/rushroad/bench/stand_ins/replies.py
+++ b/rushroad/bench/stand_ins/replies.py
@@ -1,4 +1,4 @@
-"""Replies in the order of the commands on a connection."""
+"""Sends replies in the order in which their commands arrived on a connection."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from collections import deque
 
 
-class Reply:
-    """One reply in a connection's order; its text, once it is ready."""
+class PendingReply:
+    """A reply's place in the order; `text` is None until the reply is ready."""
 
     __slots__ = ("text",)
 
@@ -15,21 +15,21 @@
         self.text: bytes | None = None
 
 
-class Replies:
-    """Writes each reply when it is ready and all before it have been written."""
+class ReplyQueue:
+    """Writes each reply once it is ready and all replies before it have been written."""
 
     def __init__(self, transport: asyncio.Transport) -> None:
         self._transport = transport
-        self._queue: deque[Reply] = deque()
+        self._queue: deque[PendingReply] = deque()
 
-    def reserve(self) -> Reply:
-        """Reserve the next command's reply in the order."""
-        reply = Reply()
+    def reserve(self) -> PendingReply:
+        """Append a pending reply to the queue and return it."""
+        reply = PendingReply()
         self._queue.append(reply)
         return reply
 
-    def fill(self, reply: Reply, text: bytes) -> None:
-        """Take a reply that is ready, and write all that can be written."""
+    def complete(self, reply: PendingReply, text: bytes) -> None:
+        """Set the text of a reply, and write every reply that has no pending one before it."""
         reply.text = text
         while self._queue and (ready := self._queue[0].text) is not None:
             self._queue.popleft()
--- a/tests/support/rate_server.py
+++ b/tests/support/rate_server.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
-from rushroad.bench.stand_ins.replies import Replies, Reply
+from rushroad.bench.stand_ins.replies import PendingReply, ReplyQueue
 from rushroad.proxy import resp
 
 DEADLINE = re.compile(rb"(?:^|,)d=(\d+)(?:,|$)")
@@ -29,12 +29,12 @@
     def __init__(self, server: RateServer) -> None:
         self._server, self._reader = server, resp.Reader(16)
         self.transport: asyncio.Transport
-        self.replies: Replies
+        self.replies: ReplyQueue
         self.in_flight: list[Attempt] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.replies = Replies(self.transport)
+        self.replies = ReplyQueue(self.transport)
         self._server.connections.add(self)
 
     def connection_lost(self, _error: Exception | None) -> None:
@@ -79,13 +79,13 @@
         if not self.hangs:
             loop.call_later(self.service_time, self._answer, connection, reply, attempt)
 
-    def _answer(self, connection: _Connection, reply: Reply, attempt: Attempt) -> None:
+    def _answer(self, connection: _Connection, reply: PendingReply, attempt: Attempt) -> None:
         if not connection.transport.is_closing():
             connection.in_flight.remove(attempt)
             attempt.ended_at = asyncio.get_running_loop().time()
             value = self.value or attempt.request
             answer = b"*3\r\n$%d\r\n%b\r\n%b$-1\r\n" % (len(value), value, self.figures)
-            connection.replies.fill(reply, answer)
+            connection.replies.complete(reply, answer)
 
     def entry(self) -> dict[str, Any]:
         """Its entry in the endpoint list, in discovery's form."""
