--- a/rushroad/bench/commands.py
+++ b/rushroad/bench/commands.py
@@ -1,4 +1,4 @@
-"""Commands from the bench to its processes, and their replies: one JSON object a line, over pipes."""
+"""Commands from the bench to its worker processes, and their replies: JSON objects over pipes, one a line."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Command(msgspec.Struct, frozen=True, kw_only=True, tag_field="do"):
-    """A command; its tag on the pipe is in `do`."""
+    """A command. Its field `do` names its type on the pipe."""
 
 
 class Reply(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
@@ -17,25 +17,25 @@
 
 
 class Done(Reply, kw_only=True):
-    """The command was carried out, and there is nothing to report."""
+    """The command succeeded, and there is nothing to report."""
 
 
 # --- to the stand-ins -----------------------------------------------------------------------------------
 
 
 class StartStandIns(Command, frozen=True, kw_only=True, tag="start"):
-    """The first command: start all stand-ins."""
+    """Starts all stand-ins. It must be the first command."""
 
     rate_servers: int
-    work_s: float  # of a rate server on a request
+    work_s: float  # service time of a request at a rate server
     load_reports: bool
     counter_shards: int = 1
-    indent: int | None = None  # of discovery's JSON
+    indent: int | None = None  # of discovery's JSON; None puts each message on one line
     seed: int
 
 
 class StandInAddresses(Reply, kw_only=True):
-    """Where the stand-ins listen."""
+    """The addresses on which the stand-ins listen."""
 
     discovery: str
     counter: str
@@ -43,63 +43,66 @@
 
 
 class RemoveEndpoints(Command, frozen=True, kw_only=True, tag="remove"):
-    """Remove so many endpoints from the list in one message, first half of those that have had attempts."""
+    """Removes `count` endpoints from the list in one message.
+
+    The half with the most attempts, of the endpoints that have received any, are removed before others.
+    """
 
     count: int
 
 
 class RemovedEndpoints(Reply, kw_only=True):
-    """How many endpoints were removed, and how many of them had had attempts."""
+    """How many endpoints were removed, and how many of these had received attempts."""
 
     removed: int
     used: int
 
 
-class RollEndpoints(Command, frozen=True, kw_only=True, tag="roll"):
-    """Change the endpoint list at this rate from now on; 0 stops it."""
+class SetEndpointChurn(Command, frozen=True, kw_only=True, tag="roll"):
+    """Sets the rate at which the endpoint list changes; 0 stops the changes."""
 
     changes_per_s: float
 
 
 class SilenceDiscovery(Command, frozen=True, kw_only=True, tag="silence"):
-    """Let discovery send nothing, or go on."""
+    """Stops all output of discovery, or resumes it."""
 
     on: bool
 
 
 class CounterMode(Enum):
-    """How a shard of the counter handles its calls."""
+    """How a shard of the counter responds to calls."""
 
     NORMAL = "normal"
-    BUSY = "busy"  # rejects all
+    BUSY = "busy"  # rejects every call
     SLOW = "slow"  # replies after a delay
-    DOWN = "down"  # replies to nothing, so nothing behind it on a connection gets a reply either
+    DOWN = "down"  # never replies, which also blocks the replies to later calls on the connection
 
 
 class SetCounterMode(Command, frozen=True, kw_only=True, tag="counter"):
-    """Set the mode of the first `shards` shards; the others are normal."""
+    """Sets the mode of the first `shards` shards, and resets the others to NORMAL."""
 
     mode: CounterMode
     shards: int
-    delay_s: float = 0.0  # of slow shards
+    delay_s: float = 0.0  # of the replies of SLOW shards
 
 
-class GetFigures(Command, frozen=True, kw_only=True, tag="figures"):
-    """Ask for what has come to the stand-ins so far."""
+class GetStats(Command, frozen=True, kw_only=True, tag="figures"):
+    """Requests the statistics of the stand-ins since their start."""
 
 
-class RateServerFigures(Reply, kw_only=True):
-    """What has come to all rate servers together."""
+class RateServerStats(Reply, kw_only=True):
+    """Statistics of all rate servers together."""
 
     attempts: int = 0
-    late_attempts: int = 0  # to endpoints removed a while before
+    late_attempts: int = 0  # to endpoints removed more than LATE_AFTER_S before
     connects: int = 0
     open_connections: int = 0
     syntax_errors: int = 0
 
 
-class CounterFigures(Reply, kw_only=True):
-    """What has come to the counter."""
+class CounterStats(Reply, kw_only=True):
+    """Statistics of the counter."""
 
     calls: int = 0
     pings: int = 0
@@ -108,25 +111,25 @@
     bytes_out: int = 0
 
 
-class DiscoveryFigures(Reply, kw_only=True):
-    """What discovery has served."""
+class DiscoveryStats(Reply, kw_only=True):
+    """Statistics of discovery."""
 
-    watches: int = 0  # started
+    watches: int = 0  # opened since the start
     open_watches: int = 0
     bytes_out: int = 0
     changes: int = 0
 
 
-class StandInFigures(Reply, kw_only=True):
-    """What has come to the stand-ins so far."""
+class StandInStats(Reply, kw_only=True):
+    """Statistics of the stand-ins since their start."""
 
-    rate_servers: RateServerFigures
-    counter: CounterFigures
-    discovery: DiscoveryFigures
+    rate_servers: RateServerStats
+    counter: CounterStats
+    discovery: DiscoveryStats
 
 
 StandInCommand: TypeAlias = (
-    StartStandIns | RemoveEndpoints | RollEndpoints | SilenceDiscovery | SetCounterMode | GetFigures
+    StartStandIns | RemoveEndpoints | SetEndpointChurn | SilenceDiscovery | SetCounterMode | GetStats
 )
 STAND_IN_DECODER: msgspec.json.Decoder[StandInCommand] = msgspec.json.Decoder(StandInCommand)
 
@@ -135,25 +138,25 @@
 
 
 class Outcome(StrEnum):
-    """What became of a client's request, named as the columns of the results are."""
+    """The outcome of a client's request, by the name of its column in the results."""
 
     SERVED = "served"
     REJECTED = "refused"
     FAILED = "failed"
-    LOST = "lost"  # no answer in time, or a connection that ended
-    WRONG = "wrong"  # a value that no rate server made for this request
+    LOST = "lost"  # no reply in time, or the connection failed or was closed
+    WRONG = "wrong"  # the value is not the one that a rate server made for this request
 
 
 class StartLoad(Command, frozen=True, kw_only=True, tag="load"):
-    """Send requests as a Poisson process; the reply comes when all of them have ended."""
+    """Starts requests as a Poisson process. The reply is sent once all of them have completed."""
 
-    gateways: tuple[str, ...]  # addresses
-    gateway_indices: tuple[int, ...]  # of the same gateways, in their fleet
+    gateways: tuple[str, ...]  # their addresses
+    gateway_indices: tuple[int, ...]  # the index of each of these gateways in the fleet
     fleet_size: int
-    request_rate: float  # a second, at all gateways together
+    request_rate: float  # requests a second to all gateways together
     requests: int
     tenants: int
-    entry_points: int  # gateways that a tenant's requests come through
+    entry_points: int  # number of gateways over which a tenant's requests are spread
     deadline_ms: int
     request_class: str
     plan: str
@@ -168,27 +171,27 @@
 
 
 class LoadResult(Reply, kw_only=True):
-    """What became of all requests."""
+    """The outcomes and latencies of all requests."""
 
     outcomes: dict[Outcome, int]
     tenants_seen: int
     seconds: float
     latency: Percentiles
-    added: Percentiles  # latency without the rate servers' work
+    added: Percentiles  # latency less the service time of the rate servers
 
 
 class StartPings(Command, frozen=True, kw_only=True, tag="ping"):
-    """Send PINGs to a gateway, one after another, from now on."""
+    """Starts to send PINGs to a gateway, one at a time."""
 
     gateway: str  # its address
 
 
 class TakeLongestPing(Command, frozen=True, kw_only=True, tag="stall"):
-    """Ask for the longest round trip of a PING since this was last asked."""
+    """Requests the longest round trip of a PING since the last such command."""
 
 
 class LongestPing(Reply, kw_only=True):
-    """The longest round trip, a PING in flight included, and the number of answers."""
+    """The longest round trip, including that of a PING in flight, and the number of PONGs received."""
 
     seconds: float
     answers: int
--- a/rushroad/bench/real/measurements.py
+++ b/rushroad/bench/real/measurements.py
@@ -13,8 +13,8 @@
     Outcome,
     RemovedEndpoints,
     RemoveEndpoints,
-    RollEndpoints,
-    StandInFigures,
+    SetEndpointChurn,
+    StandInStats,
     StartPings,
     TakeLongestPing,
 )
@@ -37,14 +37,14 @@
         fleet = processes.fleet
         ready_s = max(fleet.wait_ready())
         fleet.wait(SETTLE_S)
-        roll = RollEndpoints(changes_per_s=scene.list_changes_per_s)
-        processes.stand_ins.call(roll, Done)
+        churn = SetEndpointChurn(changes_per_s=scene.list_changes_per_s)
+        processes.stand_ins.call(churn, Done)
         idle_core_share = _measure_idle(processes)
-        before, cpu_before = processes.figures(), fleet.cpu_seconds()
+        before, cpu_before = processes.stand_in_stats(), fleet.cpu_seconds()
         processes.start_load(scene.seconds)
         fleet.wait(scene.seconds)
         result = processes.clients.receive(LoadResult)
-        cpu_s, after = fleet.cpu_seconds() - cpu_before, processes.figures()
+        cpu_s, after = fleet.cpu_seconds() - cpu_before, processes.stand_in_stats()
         requests = sum(result.outcomes.values())
         return CostRow(
             **structs.asdict(condition),
@@ -92,7 +92,7 @@
     }
 
 
-def _traffic(before: StandInFigures, after: StandInFigures, requests: int) -> dict[str, Any]:
+def _traffic(before: StandInStats, after: StandInStats, requests: int) -> dict[str, Any]:
     """Fields of a row: what came to the stand-ins meanwhile, some of it for each request."""
     servers, servers_before = after.rate_servers, before.rate_servers
     counter, counter_before = after.counter, before.counter
@@ -156,12 +156,12 @@
         fleet.wait(SETTLE_S)
         pings.call(StartPings(gateway=fleet.gateways[0].address), Done)
         processes.start_load(4 * observed_s)
-        before = processes.figures()
+        before = processes.stand_in_stats()
         quiet = _observe_removal(processes, pings, 0, observed_s)
         one = _observe_removal(processes, pings, 1, observed_s)
         many = _observe_removal(processes, pings, burst, observed_s)
         result = processes.clients.receive(LoadResult)
-        after = processes.figures()
+        after = processes.stand_in_stats()
         return ChangesRow(
             **structs.asdict(condition),
             burst=burst,
--- a/rushroad/bench/real/scene.py
+++ b/rushroad/bench/real/scene.py
@@ -12,12 +12,12 @@
 
 import structlog
 
-from rushroad.bench.commands import GetFigures, StandInAddresses, StandInFigures, StartLoad, StartStandIns
+from rushroad.bench.commands import GetStats, StandInAddresses, StandInStats, StartLoad, StartStandIns
 from rushroad.bench.fleet_size import FleetSize
 from rushroad.bench.real.gateway_processes import FleetConfiguration, RealFleet
 from rushroad.bench.real.gateway_settings import PLAN, REQUEST_CLASS
 from rushroad.bench.real.run_limits import sigterm_as_exit, time_limit
-from rushroad.bench.stand_ins.discovery_entries import list_entry
+from rushroad.bench.stand_ins.discovery_entries import endpoint_entry
 from rushroad.bench.stand_ins.rate_servers import rate_server_address
 from rushroad.bench.worker import Worker
 
@@ -72,9 +72,9 @@
     clients: Worker
     fleet: RealFleet
 
-    def figures(self) -> StandInFigures:
+    def stand_in_stats(self) -> StandInStats:
         """What has come to the stand-ins so far."""
-        return self.stand_ins.call(GetFigures(), StandInFigures)
+        return self.stand_ins.call(GetStats(), StandInStats)
 
     def start_load(self, seconds: float) -> None:
         """Begin with the scene's requests, for so long; the clients' reply is their LoadResult."""
@@ -126,9 +126,9 @@
 def _known_endpoints(scene: Scene, addresses: StandInAddresses) -> dict[str, Any]:
     """The endpoint list in the gateways' configuration, by the published names of its fields."""
     port = int(addresses.first_rate_server.rpartition(":")[2])
-    numbers = range(scene.size.rate_servers if scene.list_configured else 0)
+    indices = range(scene.size.rate_servers if scene.list_configured else 0)
     return {
         "generation": int(scene.list_configured),
         "reset": True,
-        "instances": [list_entry(number, rate_server_address(number, port)) for number in numbers],
+        "instances": [endpoint_entry(index, rate_server_address(index, port)) for index in indices],
     }
--- a/rushroad/bench/stand_ins/__init__.py
+++ b/rushroad/bench/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what a gateway talks to, over the published protocols on loopback, in one process."""
+"""Stand-ins for a gateway's peers, which speak the published protocols on loopback, all in one process."""
--- a/rushroad/bench/stand_ins/__main__.py
+++ b/rushroad/bench/stand_ins/__main__.py
@@ -1,6 +1,6 @@
-"""The stand-ins' process: commands on standard input, replies on standard output.
+"""The process of the stand-ins. It reads commands from standard input and replies on standard output.
 
-The first command is StartStandIns. The process ends when its input does.
+The first command must be StartStandIns. The process exits when its input is closed.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from rushroad.bench.commands import (
     STAND_IN_DECODER,
     Done,
-    GetFigures,
+    GetStats,
     RemovedEndpoints,
     RemoveEndpoints,
     Reply,
-    RollEndpoints,
     SetCounterMode,
+    SetEndpointChurn,
     SilenceDiscovery,
     StandInAddresses,
     StandInCommand,
-    StandInFigures,
+    StandInStats,
     StartStandIns,
 )
 from rushroad.bench.stand_ins.counter import Counter
@@ -34,7 +34,7 @@
 
 
 class StandIns:
-    """Rate servers, discovery and the counter, and the commands for them."""
+    """The stand-ins for rate servers, discovery and the counter, controlled by commands."""
 
     def __init__(self, command: StartStandIns) -> None:
         loop = asyncio.get_running_loop()
@@ -44,13 +44,13 @@
         self.discovery: Discovery
 
     async def start(self) -> StandInAddresses:
-        """Listen; returns the addresses."""
+        """Start listening, and return the addresses."""
         await self.rate_servers.listen()
         command, address = self._command, self.rate_servers.address
         self.discovery = Discovery(
             command.rate_servers,
             address,
-            self.rate_servers.note_removed,
+            self.rate_servers.record_removal,
             command.indent,
             random.Random(command.seed),
             asyncio.get_running_loop(),
@@ -61,47 +61,50 @@
             first_rate_server=address(0),
         )
 
-    def carry_out(self, command: StandInCommand) -> Reply:
-        """Carry out a command after the first one; raises ValueError for a second StartStandIns."""
+    def execute(self, command: StandInCommand) -> Reply:
+        """Execute a command and return its reply; raises ValueError for a second StartStandIns."""
         match command:
             case RemoveEndpoints():
                 return self._remove(command.count)
-            case RollEndpoints():
-                self.discovery.roll(command.changes_per_s)
+            case SetEndpointChurn():
+                self.discovery.set_churn(command.changes_per_s)
             case SilenceDiscovery():
                 self.discovery.set_silent(command.on)
             case SetCounterMode():
                 self.counter.set_mode(command.mode, command.shards, command.delay_s)
-            case GetFigures():
-                self.discovery.figures.open_watches = len(self.discovery.watches)
-                return StandInFigures(
-                    rate_servers=self.rate_servers.figures,
-                    counter=self.counter.figures,
-                    discovery=self.discovery.figures,
+            case GetStats():
+                self.discovery.stats.open_watches = len(self.discovery.watches)
+                return StandInStats(
+                    rate_servers=self.rate_servers.stats,
+                    counter=self.counter.stats,
+                    discovery=self.discovery.stats,
                 )
             case StartStandIns():
-                raise ValueError("the stand-ins are started once, and run already")
+                raise ValueError("StartStandIns received twice: the stand-ins are already running")
         return Done()
 
     def _remove(self, count: int) -> RemovedEndpoints:
-        """Remove endpoints; half of those with attempts go first, so that a gateway loses some it uses."""
-        used = [number for number, _ in self.rate_servers.attempts_by_number.most_common()]
+        """Remove endpoints, beginning with the busier half of those with attempts.
+
+        So a gateway loses some of the endpoints that it uses, and keeps others.
+        """
+        used = [index for index, _ in self.rate_servers.attempts_by_index.most_common()]
         removed = self.discovery.remove(count, used[: (len(used) + 1) // 2])
         return RemovedEndpoints(removed=len(removed), used=len(set(removed) & set(used)))
 
 
 async def serve() -> None:
-    """Stand in until the input ends; raises ValueError where the first command is not StartStandIns."""
+    """Run the stand-ins until the input is closed; raises ValueError if the first command is another one."""
     stand_ins: StandIns | None = None
     async for command, respond in serve_commands(STAND_IN_DECODER):
         if stand_ins is not None:
-            respond(stand_ins.carry_out(command))
+            respond(stand_ins.execute(command))
         elif isinstance(command, StartStandIns):
             stand_ins = StandIns(command)
             respond(await stand_ins.start())
-            gc.freeze()  # the endpoint list stays: collections need not traverse it again
+            gc.freeze()  # the endpoint list is long-lived: garbage collection need not traverse it
         else:
-            raise ValueError(f"the first command must be StartStandIns, not {command!r}")
+            raise ValueError(f"first command must be StartStandIns, got {command!r}")
 
 
 if __name__ == "__main__":
--- a/rushroad/bench/stand_ins/counter.py
+++ b/rushroad/bench/stand_ins/counter.py
@@ -1,4 +1,4 @@
-"""The counter: totals by name in shards, each of which can be busy, slow or down."""
+"""Stand-in for the counter: totals by name, in shards of which each can be busy, slow or down."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from dataclasses import dataclass
 from typing import NamedTuple, cast
 
-from rushroad.bench.commands import CounterFigures, CounterMode
+from rushroad.bench.commands import CounterMode, CounterStats
 from rushroad.bench.stand_ins.replies import ReplyQueue
 
 MAX_NAME_BYTES = 64
 MAX_AMOUNT = 1e9
 MAX_LIFETIME_MS = 60_000
-MAX_LINE_BYTES = 256  # a longer line is no call
-SWEEP_INTERVAL_S = 10.0  # between checks for expired names
-BACKLOG = 4_096  # connects that wait to be accepted
+MAX_LINE_BYTES = 256  # longer lines are a protocol error
+SWEEP_INTERVAL_S = 10.0  # between removals of expired names
+BACKLOG = 4_096  # connections waiting to be accepted
 ERROR = b"error\r\n"
 
 
 class CounterAnswer(NamedTuple):
-    """The reply to a call, and the mode of the shard that handles it."""
+    """The reply to a call, and the mode of the shard that owns the name."""
 
     mode: CounterMode
     text: bytes
@@ -29,20 +29,20 @@
 @dataclass(slots=True)
 class _Total:
     total: float
-    expires_at: float  # seconds of the loop's clock
+    expires_at: float  # in seconds of the loop's clock
 
 
 def shard_of(name: bytes, shards: int) -> int:
-    """A name's shard, the same in every process."""
+    """Return the shard of a name; it is the same in every process."""
     return zlib.crc32(name) % shards
 
 
 class _Connection(asyncio.Protocol):
-    """A gateway's connection, with one call behind another."""
+    """A gateway's connection, on which calls are pipelined."""
 
     def __init__(self, counter: Counter) -> None:
         self._counter = counter
-        self._rest = b""  # of a line that has not come whole
+        self._partial_line = b""  # received so far of a line without its end
         self._transport: asyncio.Transport
         self._replies: ReplyQueue
 
@@ -50,18 +50,18 @@
         """Count the connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._replies = ReplyQueue(self._transport)
-        self._counter.figures.connects += 1
+        self._counter.stats.connects += 1
 
     def data_received(self, data: bytes) -> None:
-        """Handle each whole line as a call."""
-        self._counter.figures.bytes_in += len(data)
-        *lines, self._rest = (self._rest + data).split(b"\r\n")
+        """Handle each complete line as a call."""
+        self._counter.stats.bytes_in += len(data)
+        *lines, self._partial_line = (self._partial_line + data).split(b"\r\n")
         for line in lines:
-            self._call(line)
-        if len(self._rest) > MAX_LINE_BYTES:
+            self._handle_call(line)
+        if len(self._partial_line) > MAX_LINE_BYTES:
             self._transport.abort()
 
-    def _call(self, line: bytes) -> None:
+    def _handle_call(self, line: bytes) -> None:
         reply, answer = self._replies.reserve(), self._counter.answer(line)
         if answer.mode is CounterMode.SLOW:
             delay_s = self._counter.slow_delay_s
@@ -71,18 +71,18 @@
 
 
 class Counter:
-    """The totals, and `figures` of what has come."""
+    """The totals, and statistics of the calls received."""
 
     def __init__(self, shards: int, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.figures = CounterFigures()
-        self.slow_delay_s = 0.0  # of slow shards
+        self.stats = CounterStats()
+        self.slow_delay_s = 0.0  # of the replies of SLOW shards
         self._modes = [CounterMode.NORMAL] * shards
         self._totals: dict[bytes, _Total] = {}
         self._listener: asyncio.Server
 
     async def listen(self) -> str:
-        """Listen; returns the address."""
+        """Start listening, and return the address."""
         self._listener = await self.loop.create_server(
             lambda: _Connection(self), "127.0.0.1", 0, backlog=BACKLOG
         )
@@ -91,28 +91,31 @@
         return f"{host}:{port}"
 
     def set_mode(self, mode: CounterMode, shards: int, delay_s: float) -> None:
-        """Set the mode of the first `shards` shards; the others are normal. `delay_s`: of slow shards."""
+        """Set the mode of the first `shards` shards, and reset the others to NORMAL.
+
+        `delay_s` is the delay of the replies of SLOW shards.
+        """
         self.slow_delay_s = delay_s
         normal = CounterMode.NORMAL
-        self._modes = [mode if number < shards else normal for number in range(len(self._modes))]
+        self._modes = [mode if shard < shards else normal for shard in range(len(self._modes))]
 
     def answer(self, line: bytes) -> CounterAnswer:
-        """Handle a line."""
+        """Execute the call on a line; malformed ones are answered with an error."""
         mode, text = self._handle(line)
-        self.figures.bytes_out += len(text)
+        self.stats.bytes_out += len(text)
         return CounterAnswer(mode, text)
 
     def _handle(self, line: bytes) -> CounterAnswer:
         if line == b"ping":
-            self.figures.pings += 1
+            self.stats.pings += 1
             return CounterAnswer(CounterMode.NORMAL, b"pong\r\n")
-        self.figures.calls += 1
+        self.stats.calls += 1
         try:
-            verb, name, amount_text, lifetime_text = line.split(b" ")
+            command, name, amount_text, lifetime_text = line.split(b" ")
             amount, lifetime_ms = float(amount_text), int(lifetime_text)
         except ValueError:
             return CounterAnswer(CounterMode.NORMAL, ERROR)
-        well_formed = verb == b"bump" and 1 <= len(name) <= MAX_NAME_BYTES
+        well_formed = command == b"bump" and 1 <= len(name) <= MAX_NAME_BYTES
         if not well_formed or lifetime_ms < 1 or not abs(amount) <= MAX_AMOUNT:
             return CounterAnswer(CounterMode.NORMAL, ERROR)
         mode = self._modes[shard_of(name, len(self._modes))]
--- a/rushroad/bench/stand_ins/discovery_entries.py
+++ b/rushroad/bench/stand_ins/discovery_entries.py
@@ -1,4 +1,4 @@
-"""The messages of discovery's watch, by the published names of their fields."""
+"""Messages of discovery's watch, with the field names of the published protocol."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 MACHINE_TYPES = ("full", "slow")
 ZONES = ("room-a", "room-b", "room-c")
 CELLS = 7
-Entry = dict[str, Any]  # an object of the published protocol
+Entry = dict[str, Any]  # a JSON object of the published protocol
 
 
-def list_entry(number: int, address: str, started_at_ms: int = 0) -> Entry:
-    """The list's entry for a rate server that serves."""
+def endpoint_entry(index: int, address: str, started_at_ms: int = 0) -> Entry:
+    """Return the list entry of a rate server that is serving."""
     return {
-        "instanceId": f"s-{number:08x}",
+        "instanceId": f"s-{index:08x}",
         "hostPort": address,
-        "zone": ZONES[number % len(ZONES)],
-        "machineType": MACHINE_TYPES[number % len(MACHINE_TYPES)],
-        "cell": number % CELLS,
+        "zone": ZONES[index % len(ZONES)],
+        "machineType": MACHINE_TYPES[index % len(MACHINE_TYPES)],
+        "cell": index % CELLS,
         "lifecycle": "SERVING",
         "weight": 1.0,
         "startedAtMs": started_at_ms,
@@ -26,6 +26,6 @@
 
 
 def encode_message(generation: int, entries: list[Entry], indent: int | None, reset: bool = True) -> bytes:
-    """A message of the watch, on one line, or over many where indented; `reset`: it is the whole list."""
+    """Encode a message of the watch, on one line unless `indent` is given; `reset` marks a snapshot."""
     message = {"generation": generation, "reset": reset, "instances": entries}
     return json.dumps(message, indent=indent, separators=(",", ": " if indent else ":")).encode() + b"\n"
--- a/rushroad/bench/stand_ins/discovery_watch.py
+++ b/rushroad/bench/stand_ins/discovery_watch.py
@@ -1,4 +1,4 @@
-"""A gateway's connection to discovery: a watch, or a call for the whole list."""
+"""A gateway's connection to discovery: a watch, or a request for a snapshot."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 if TYPE_CHECKING:
     from rushroad.bench.stand_ins.discovery import Discovery
 
-CHUNK_BYTES = 1 << 16  # of an answer
-NOT_STARTED = -1  # in place of a generation
+CHUNK_BYTES = 1 << 16  # of a response body
+NOT_STARTED = -1  # placeholder for a generation
 
 
 class Watch(asyncio.Protocol):
-    """One connection. It is among the discovery's watches from its request on, if that asks for a watch."""
+    """One connection. If its request asks for a watch, it is registered with discovery until it is closed."""
 
     def __init__(self, discovery: Discovery) -> None:
         self._discovery = discovery
         self._http = h11.Connection(h11.SERVER)
         self._transport: asyncio.Transport
-        self._generation = NOT_STARTED  # that the gateway has
+        self._generation = NOT_STARTED  # of the list that the gateway has
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        """Forget the watch."""
+        """Unregister the watch."""
         self._discovery.watches.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take a request; anything else ends the connection."""
+        """Handle a request; close the connection on a protocol error."""
         try:
             self._http.receive_data(data)
             event = self._http.next_event()
@@ -41,9 +41,9 @@
             self._transport.abort()
             return
         if isinstance(event, h11.Request):
-            self._answer(urlsplit(event.target.decode()))
+            self._handle_request(urlsplit(event.target.decode()))
 
-    def _answer(self, url: SplitResult) -> None:
+    def _handle_request(self, url: SplitResult) -> None:
         query = parse_qs(url.query)
         if url.path != "/v1/servers":
             self._respond(404)
@@ -61,12 +61,12 @@
         self._transport.write(self._http.send(h11.Response(status_code=status, headers=headers)) or b"")
 
     def _write(self, text: bytes) -> None:
-        self._discovery.figures.bytes_out += len(text)
-        for at in range(0, len(text), CHUNK_BYTES):
-            self._transport.write(self._http.send(h11.Data(data=text[at : at + CHUNK_BYTES])) or b"")
+        self._discovery.stats.bytes_out += len(text)
+        for offset in range(0, len(text), CHUNK_BYTES):
+            self._transport.write(self._http.send(h11.Data(data=text[offset : offset + CHUNK_BYTES])) or b"")
 
     def start(self) -> None:
-        """Send what has changed since the generation that the gateway named, or the whole list."""
+        """Send the changes since the gateway's generation, or a snapshot if the history is too short."""
         self._respond(200)
         if self._discovery.can_resume_from(self._generation):
             self.send_changes()
@@ -75,7 +75,7 @@
             self._generation = self._discovery.generation
 
     def send_changes(self) -> None:
-        """Send what has changed since the last message, or a heartbeat."""
+        """Send the changes since the last message, or a heartbeat if there are none."""
         if self._generation == self._discovery.generation:
             self.send_heartbeat()
         for change in self._discovery.changes_since(self._generation):
@@ -83,5 +83,5 @@
             self._generation = change.generation
 
     def send_heartbeat(self) -> None:
-        """Send an empty line."""
+        """Send an empty line, which is the heartbeat."""
         self._write(b"\n")
--- a/tests/bench/stand_ins/test_counter.py
+++ b/tests/bench/stand_ins/test_counter.py
@@ -1,18 +1,18 @@
-"""The stand-in for the counter."""
+"""Tests of the stand-in for the counter."""
 
 from rushroad.bench.commands import (
     CounterMode,
     Done,
-    GetFigures,
+    GetStats,
     SetCounterMode,
     StandInAddresses,
-    StandInFigures,
+    StandInStats,
 )
 from rushroad.bench.worker import Worker
 from tests.support.bench_peers import connect, read_until
 
 
-def test_the_counter_adds_and_rejects_and_knows_no_other_calls(
+def test_the_counter_adds_up_calls_rejects_when_busy_and_reports_errors(
     stand_ins: Worker, addresses: StandInAddresses
 ) -> None:
     with connect(addresses.counter) as gateway:
@@ -21,11 +21,13 @@
         stand_ins.call(SetCounterMode(mode=CounterMode.BUSY, shards=1), Done)
         gateway.sendall(b"bump a 1 4000\r\n")
         assert read_until(gateway, b"\r\n") == b"busy\r\n"
-        figures = stand_ins.call(GetFigures(), StandInFigures).counter
-        assert (figures.calls, figures.pings, figures.bytes_in) == (4, 1, 64)
+        stats = stand_ins.call(GetStats(), StandInStats).counter
+        assert (stats.calls, stats.pings, stats.bytes_in) == (4, 1, 64)
 
 
-def test_a_slow_shard_keeps_the_order_of_the_replies(stand_ins: Worker, addresses: StandInAddresses) -> None:
+def test_a_slow_shard_delays_later_replies_on_the_connection(
+    stand_ins: Worker, addresses: StandInAddresses
+) -> None:
     with connect(addresses.counter) as gateway:
         stand_ins.call(SetCounterMode(mode=CounterMode.SLOW, shards=1, delay_s=0.02), Done)
         gateway.sendall(b"bump a 1 4000\r\nping\r\n")
--- a/tests/bench/stand_ins/test_discovery.py
+++ b/tests/bench/stand_ins/test_discovery.py
@@ -1,4 +1,4 @@
-"""The stand-in for discovery."""
+"""Tests of the stand-in for discovery."""
 
 import pytest
 from msgspec import structs
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("indent", [None, 1])
-def test_a_watch_gets_the_whole_list_and_then_each_change(
+def test_a_watch_receives_a_snapshot_and_then_each_change(
     stand_ins: Worker, start_command: StartStandIns, indent: int | None
 ) -> None:
     command = structs.replace(start_command, indent=indent)
@@ -32,7 +32,7 @@
         assert [entry["lifecycle"] for entry in change["instances"]] == ["DELETED"] * 4
 
 
-def test_a_watch_resumes_from_its_generation_and_gets_the_changes_after_a_silence(
+def test_a_watch_resumes_from_its_generation_and_receives_the_changes_made_while_silent(
     stand_ins: Worker, addresses: StandInAddresses
 ) -> None:
     stand_ins.call(RemoveEndpoints(count=1), RemovedEndpoints)
@@ -40,15 +40,13 @@
         assert next_message(watch)["generation"] == 2
         stand_ins.call(SilenceDiscovery(on=True), Done)
         stand_ins.call(RemoveEndpoints(count=1), RemovedEndpoints)
-        with open_watch(addresses.discovery, 2) as late_watch:
+        with open_watch(addresses.discovery, 2) as later_watch:
             stand_ins.call(SilenceDiscovery(on=False), Done)
             assert next_message(watch)["generation"] == 3
-            assert next_message(late_watch)["generation"] == 3
+            assert next_message(later_watch)["generation"] == 3
 
 
-def test_endpoints_that_have_had_attempts_are_removed_first(
-    stand_ins: Worker, addresses: StandInAddresses
-) -> None:
+def test_endpoints_with_attempts_are_removed_first(stand_ins: Worker, addresses: StandInAddresses) -> None:
     with connect(addresses.first_rate_server.replace("127.64.0.0:", "127.64.0.9:")) as gateway:
         gateway.sendall(pack([b"CALL.GET", b"%016x" % 5, b"%016x" % 9, b"c=lookup,t=basic,d=900"]))
         read_until(gateway, b"inflight=1\r\n")
--- a/tests/bench/test_worker.py
+++ b/tests/bench/test_worker.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rushroad.bench.commands import GetFigures, StandInAddresses, StandInFigures
+from rushroad.bench.commands import GetStats, StandInAddresses, StandInStats
 from rushroad.bench.worker import Worker
 
 
@@ -15,7 +15,7 @@
 
 def test_a_command_to_a_process_that_has_ended_is_an_error(stand_ins: Worker) -> None:
     with pytest.raises(RuntimeError, match="has ended with 1"):
-        stand_ins.call(GetFigures(), StandInFigures)  # before StartStandIns: the process ends
+        stand_ins.call(GetStats(), StandInStats)  # before StartStandIns: the process ends
 
 
 def test_a_reply_is_read_as_its_type(addresses: StandInAddresses) -> None:
