--- a/rushroad/bench/load.py
+++ b/rushroad/bench/load.py
@@ -29,7 +29,7 @@
     StartPings,
     TakeLongestPing,
 )
-from rushroad.bench.pings import Pings
+from rushroad.bench.pings import Pinger
 from rushroad.bench.worker import serve_commands
 from rushroad.proxy.resp import pack
 
@@ -118,7 +118,7 @@
 
 async def serve() -> None:
     """Carry out commands until the input ends; the reply to StartLoad comes at the load's end."""
-    pings: Pings | None = None
+    pinger: Pinger | None = None
     loop = asyncio.get_running_loop()
     async for command, respond in serve_commands(CLIENT_DECODER):
         match command:
@@ -126,10 +126,10 @@
                 Load(command, respond)
             case StartPings():
                 host, _, port = command.gateway.partition(":")
-                _, pings = await loop.create_connection(Pings, host, int(port))
+                _, pinger = await loop.create_connection(Pinger, host, int(port))
                 respond(Done())
-            case TakeLongestPing() if pings is not None:
-                respond(pings.take_longest())
+            case TakeLongestPing() if pinger is not None:
+                respond(pinger.take_longest())
             case _:
                 raise ValueError(f"no gateway is pinged: {command!r} must follow StartPings")
 
--- a/rushroad/bench/real/gateway_processes.py
+++ b/rushroad/bench/real/gateway_processes.py
@@ -17,10 +17,10 @@
 
 from rushroad.bench.real.gateway_settings import PLAN, REQUEST_CLASS, gateway_settings
 from rushroad.bench.real.run_limits import RunLimitExceededError, check_memory
-from rushroad.bench.worker import ROOT
+from rushroad.bench.worker import REPOSITORY_ROOT
 from rushroad.proxy.resp import pack
 
-DEPLOY_FILE = ROOT / "deploy/balancer.toml"
+DEPLOY_FILE = REPOSITORY_ROOT / "deploy/balancer.toml"
 ADDRESS_PREFIX = "127.92.0."  # and a number from 1: addresses where nothing else takes ports
 MAX_GATEWAYS = 190  # real ones: with the bench's own three or four below 200 processes
 START_TIMEOUT_S = 120.0  # for the first answer to a PING
@@ -71,7 +71,7 @@
         self.started_at = time.monotonic()
         self.process = subprocess.Popen(
             killed_with_parent(tomllib.loads(DEPLOY_FILE.read_text())["run"], os.getpid()),
-            cwd=ROOT,
+            cwd=REPOSITORY_ROOT,
             env={**os.environ, **environment},
             stdin=subprocess.DEVNULL,
             stdout=self._log,
--- a/rushroad/bench/worker.py
+++ b/rushroad/bench/worker.py
@@ -1,4 +1,4 @@
-"""The bench's own processes: typed commands on their standard input, replies on their standard output."""
+"""Worker processes of the bench: commands on their standard input, replies on their standard output."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 from rushroad.bench.commands import Command, Reply
 
-ROOT = Path(__file__).parent.parent.parent
+REPOSITORY_ROOT = Path(__file__).parent.parent.parent
 MAX_LINE_BYTES = 1 << 24
-END_TIMEOUT_S = 5.0  # for a process to end once its input has ended; then it is killed
+EXIT_TIMEOUT_S = 5.0  # from closing a worker's input to SIGKILL
 
 CommandT = TypeVar("CommandT", bound=Command)
 ReplyT = TypeVar("ReplyT", bound=Reply)
@@ -27,9 +27,9 @@
 async def serve_commands(
     decoder: msgspec.json.Decoder[CommandT],
 ) -> AsyncIterator[tuple[CommandT, Respond]]:
-    """Yield each command from standard input with the function that replies to it, until the input ends.
+    """Yield each command from standard input with a function that sends its reply, until the input is closed.
 
-    Raises msgspec.DecodeError where a line is none of the decoder's commands.
+    Raises msgspec.DecodeError if a line is not one of the decoder's commands.
     """
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(MAX_LINE_BYTES)
@@ -43,23 +43,23 @@
 
 
 class Worker:
-    """One of the bench's own processes, `python -m MODULE`.
+    """A worker process, started as `python -m MODULE`.
 
-    It ends when its input does, so also when the bench is killed. It has a session of its own: Ctrl-C goes to
-    the bench alone, which ends it.
+    It exits when its input is closed, and therefore also when the bench is killed. It runs in a session of
+    its own, so that Ctrl-C reaches only the bench, which then stops its workers.
     """
 
     def __init__(self, module: str) -> None:
         self.process = subprocess.Popen(
             [sys.executable, "-m", module],
-            cwd=ROOT,
+            cwd=REPOSITORY_ROOT,
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             start_new_session=True,
         )
 
     def call(self, command: Command, reply_type: type[ReplyT]) -> ReplyT:
-        """Send a command and wait for its reply; raises RuntimeError where the process has ended."""
+        """Send a command and wait for its reply; raises RuntimeError if the process has exited."""
         self.send(command)
         return self.receive(reply_type)
 
@@ -70,24 +70,27 @@
         self.process.stdin.flush()
 
     def receive(self, reply_type: type[ReplyT]) -> ReplyT:
-        """Wait for the reply to the oldest command; raises RuntimeError where the process has ended."""
+        """Wait for the reply to the oldest command; raises RuntimeError if the process has exited."""
         assert self.process.stdout is not None
         line = self.process.stdout.readline()
         if not line:
-            raise RuntimeError(f"{self.process.args!r} has ended with {self.process.wait()}")
+            raise RuntimeError(f"{self.process.args!r} exited with status {self.process.wait()}")
         return msgspec.json.decode(line, type=reply_type)
 
     def __enter__(self) -> Worker:
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self,
+        error_type: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
         assert self.process.stdin is not None and self.process.stdout is not None
         with contextlib.suppress(BrokenPipeError):
             self.process.stdin.close()
         try:
-            self.process.wait(END_TIMEOUT_S)
+            self.process.wait(EXIT_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
--- a/tests/bench/real/test_commands.py
+++ b/tests/bench/real/test_commands.py
@@ -13,7 +13,7 @@
 from click.testing import CliRunner
 
 from rushroad.bench.cli import main
-from rushroad.bench.worker import ROOT
+from rushroad.bench.worker import REPOSITORY_ROOT
 
 PROCESSES = 4  # of a demo of two gateways: these, the stand-ins and the clients
 
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
 def test_an_interrupted_demo_leaves_no_process(number: signal.Signals) -> None:
     words = (sys.executable, "-m", "rushroad.bench.cli", "demo", "--size", "2/12", "--seconds", "600")
-    with subprocess.Popen(words, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE) as demo:
+    with subprocess.Popen(words, cwd=REPOSITORY_ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE) as demo:
         bench = psutil.Process(demo.pid)
         found: list[psutil.Process] = []
         while len(found) < PROCESSES:
--- a/tests/bench/test_cli.py
+++ b/tests/bench/test_cli.py
@@ -7,7 +7,7 @@
 from click.testing import CliRunner
 
 from rushroad.bench.cli import main
-from rushroad.bench.worker import ROOT
+from rushroad.bench.worker import REPOSITORY_ROOT
 
 
 @pytest.mark.parametrize("words", [("cost-by-rate", "--rates", "0"), ("demo", "--size", "3")])
@@ -17,6 +17,6 @@
 
 def test_the_package_runs_as_a_module_with_all_subcommands() -> None:
     command = [sys.executable, "-m", "rushroad.bench", "--help"]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
+    done = subprocess.run(command, cwd=REPOSITORY_ROOT, capture_output=True, text=True, check=True)
     assert done.stdout.startswith("Usage: rushroad-bench ")
     assert all(f"\n  {name} " in done.stdout for name in main.commands)
--- a/tests/bench/test_pings.py
+++ b/tests/bench/test_pings.py
@@ -1,12 +1,12 @@
-"""The PINGs that look for stalls, before a gateway that answers as the test says."""
+"""Tests of the PINGs that measure stalls, against a scripted gateway."""
 
 import asyncio
 
-from rushroad.bench.pings import Pings
+from rushroad.bench.pings import Pinger
 from tests.support.loopback import LOCAL, run
 
 
-def test_pings_follow_each_other_and_one_in_flight_counts_in_the_longest() -> None:
+def test_the_longest_round_trip_includes_a_ping_in_flight() -> None:
     async def scenario() -> None:
         pings_received = 0
         third_received = asyncio.Event()
@@ -17,14 +17,14 @@
                 pings_received += 1
                 if pings_received == 3:
                     third_received.set()
-                    return  # without an answer
+                    return  # without a PONG
                 writer.write(b"+PONG\r\n")
 
         async with await asyncio.start_server(serve, LOCAL, 0) as server:
             port = server.sockets[0].getsockname()[1]
-            _, pings = await asyncio.get_running_loop().create_connection(Pings, LOCAL, port)
+            _, pinger = await asyncio.get_running_loop().create_connection(Pinger, LOCAL, port)
             await third_received.wait()
-            assert pings.take_longest().answers == 2
-            assert pings.take_longest().seconds > 0
+            assert pinger.take_longest().answers == 2
+            assert pinger.take_longest().seconds > 0
 
     run(scenario)
