--- a/tests/bench/test_load.py
+++ b/tests/bench/test_load.py
@@ -1,4 +1,4 @@
-"""The open-loop clients, before a gateway that answers as the test says."""
+"""Tests of the open-loop load generator, against a scripted gateway."""
 
 import asyncio
 from typing import NamedTuple, cast
@@ -7,14 +7,14 @@
 from msgspec import structs
 
 from rushroad.bench.commands import LoadResult, Outcome, StartLoad
-from rushroad.bench.load import Load
+from rushroad.bench.load import LoadGenerator
 from rushroad.proxy.resp import Reader
 from tests.support.loopback import LOCAL, run
 
 
-class Played(NamedTuple):
+class LoadRun(NamedTuple):
     result: LoadResult
-    commands: list[list[bytes]]  # that came to the gateway
+    commands: list[list[bytes]]  # received by the gateway
 
 
 @pytest.fixture
@@ -34,8 +34,8 @@
     )
 
 
-async def play(command: StartLoad) -> Played:
-    """Send the load to a gateway that answers by the last digit of a request's id."""
+async def run_load(command: StartLoad) -> LoadRun:
+    """Run a load against a gateway that chooses its reply by the lowest bits of the request's id."""
     commands: list[list[bytes]] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -43,9 +43,9 @@
         while data := await reader.read(1 << 16):
             parser.feed(data)
             while (parsed := parser.next()) is not None:
-                words = cast(list[bytes], parsed)
-                commands.append(words)
-                request_id, value = words[2], b"%b 700" % words[2]
+                arguments = cast(list[bytes], parsed)
+                commands.append(arguments)
+                request_id, value = arguments[2], b"%b 700" % arguments[2]
                 match int(request_id, 16) % 8:
                     case 0:
                         writer.write(b"-BUSY 20\r\n")
@@ -62,13 +62,13 @@
     done: asyncio.Future[LoadResult] = asyncio.get_running_loop().create_future()
     async with await asyncio.start_server(serve, LOCAL, 0) as server:
         address = f"{LOCAL}:{server.sockets[0].getsockname()[1]}"
-        Load(structs.replace(command, gateways=(address,)), done.set_result)
-        return Played(await done, commands)
+        LoadGenerator(structs.replace(command, gateways=(address,)), done.set_result)
+        return LoadRun(await done, commands)
 
 
-def test_each_request_has_one_outcome_and_a_served_one_the_value_made_for_it(start_load: StartLoad) -> None:
+def test_each_request_is_counted_under_one_outcome_by_its_reply(start_load: StartLoad) -> None:
     async def scenario() -> None:
-        result, commands = await play(start_load)
+        result, commands = await run_load(start_load)
         assert result.outcomes == {
             Outcome.SERVED: 20,
             Outcome.REJECTED: 5,
@@ -76,17 +76,19 @@
             Outcome.WRONG: 5,
             Outcome.LOST: 5,
         }
-        assert len({words[2] for words in commands}) == 40
+        assert len({arguments[2] for arguments in commands}) == 40
         assert result.tenants_seen == 5
-        assert result.latency.p50 > result.added.p50  # the rate servers' 700 us are not added
+        assert result.latency.p50 > result.added.p50  # without the 700 us of service time
 
     run(scenario)
 
 
-def test_a_tenants_entry_points_are_gateways_in_a_row_of_which_this_is_one(start_load: StartLoad) -> None:
+def test_the_entry_points_of_a_tenant_are_consecutive_gateways_that_include_this_one(
+    start_load: StartLoad,
+) -> None:
     async def scenario() -> None:
-        _, commands = await play(start_load)
-        first_entries = {words[3].rpartition(b"first=")[2] for words in commands}
-        assert first_entries == {b"0", b"8", b"7"}  # of 9 gateways, 3 in a row, with number 0 among them
+        _, commands = await run_load(start_load)
+        first_entries = {arguments[3].rpartition(b"first=")[2] for arguments in commands}
+        assert first_entries == {b"0", b"8", b"7"}  # 3 consecutive gateways of 9, which include index 0
 
     run(scenario)
