--- a/rushroad/bench/real/gateway_processes.py
+++ b/rushroad/bench/real/gateway_processes.py
@@ -1,4 +1,4 @@
-"""Real gateways, started as the deploy file says, and what they use of the machine."""
+"""Real gateway processes, started by the command of the deploy file, and their use of CPU and memory."""
 
 from __future__ import annotations
 
@@ -21,22 +21,23 @@
 from rushroad.proxy.resp import pack
 
 DEPLOY_FILE = REPOSITORY_ROOT / "deploy/balancer.toml"
-ADDRESS_PREFIX = "127.92.0."  # and a number from 1: addresses where nothing else takes ports
-MAX_GATEWAYS = 190  # real ones: with the bench's own three or four below 200 processes
-START_TIMEOUT_S = 120.0  # for the first answer to a PING
-STOP_TIMEOUT_S = 6.0  # from SIGTERM to SIGKILL
-RETRY_INTERVAL_S = 0.01  # between attempts to reach a gateway that has just been started
-CHECK_INTERVAL_S = 0.5  # between checks of the processes and their memory
+ADDRESS_PREFIX = "127.92.0."  # followed by a number from 1; nothing else listens on these addresses
+MAX_GATEWAYS = 190  # keeps a run below 200 processes, with the bench's own three or four
+START_TIMEOUT_S = 120.0  # for the first PONG
+STOP_TIMEOUT_S = 6.0  # between SIGTERM and SIGKILL
+RETRY_INTERVAL_S = 0.01  # between connects to a gateway that has just been started
+CHECK_INTERVAL_S = 0.5  # between checks that the processes run within the memory limit
 LOG_TAIL_CHARACTERS = 2_000
-MAX_ANSWER_BYTES = 1 << 16
+MAX_REPLY_BYTES = 1 << 16
 LIBC = ctypes.CDLL(None)
 
 
 def killed_with_parent(command: str, parent_pid: int) -> list[str]:
-    """Return the arguments that run a shell command, which the kernel kills when the parent has ended.
+    """Return the arguments that run a shell command which the kernel kills when the parent exits.
 
-    The shell runs nothing where the parent ended before the kernel knew. A `preexec_fn` must not set this up:
-    with one, Python runs its hooks after the fork, and drops a signal's exception that is raised in these.
+    The shell exits at once if the parent exited before the parent-death signal was set. A `preexec_fn` must
+    not be used for this: with one, Python runs its after-fork hooks, and discards an exception that a signal
+    handler raises in them.
     """
     checked = f'test "$PPID" -eq {parent_pid} || exit 1; {command}'
     return ["setpriv", "--pdeathsig", "KILL", "/bin/sh", "-c", checked]
@@ -44,16 +45,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfiguration:
-    """What the configurations of a fleet's gateways share."""
+    """The parts of the configuration that all gateways of a fleet share."""
 
     discovery: str
     counter: str
-    known_endpoints: Mapping[str, Any]  # the endpoint list, by the published names of its fields
-    folder: Path  # for configurations and logs
+    known_endpoints: Mapping[str, Any]  # the endpoint list, with the field names of the published protocol
+    folder: Path  # for configuration files and logs
 
 
 class RealGateway:
-    """One gateway's process."""
+    """A gateway process."""
 
     def __init__(self, index: int, fleet_size: int, fleet_configuration: FleetConfiguration) -> None:
         host = f"{ADDRESS_PREFIX}{index + 1}"
@@ -80,7 +81,7 @@
         )
         clock = ctypes.c_int()
         if LIBC.clock_getcpuclockid(self.process.pid, ctypes.byref(clock)) != 0:
-            raise RuntimeError(f"gateway {index} has no processor clock")
+            raise RuntimeError(f"no CPU clock for the process of gateway {index}")
         self._cpu_clock = clock.value
 
     def _write_configuration(self, fleet_size: int, fleet_configuration: FleetConfiguration) -> Path:
@@ -99,9 +100,9 @@
         return file
 
     def wait_ready(self) -> float:
-        """Wait until it answers PING; returns the seconds since its start.
+        """Wait until the gateway answers PING; returns the seconds since its start.
 
-        Raises RuntimeError where the process ends, RunLimitExceededError where it takes too long.
+        Raises RuntimeError if the process exits, RunLimitExceededError after START_TIMEOUT_S.
         """
         host, _, port = self.address.partition(":")
         while time.monotonic() - self.started_at < START_TIMEOUT_S:
@@ -114,47 +115,51 @@
                 if client.recv(64) == b"+PONG\r\n":
                     return time.monotonic() - self.started_at
             time.sleep(RETRY_INTERVAL_S)
-        raise RunLimitExceededError(f"gateway {self.index} did not answer PING in {START_TIMEOUT_S:g} s")
+        raise RunLimitExceededError(f"gateway {self.index} did not answer PING within {START_TIMEOUT_S:g} s")
 
     def wait_serving(self, timeout_s: float) -> float | None:
-        """The seconds from its start to the first request served; None if there is none in time."""
+        """Return the seconds from the start to the first request served; None on a timeout."""
         host, _, port = self.address.partition(":")
-        until, number = time.monotonic() + timeout_s, 0
+        deadline, request_number = time.monotonic() + timeout_s, 0
         with socket.create_connection((host, int(port)), timeout=START_TIMEOUT_S) as client:
-            while time.monotonic() < until:
-                number += 1
-                terms = f"c={REQUEST_CLASS},t={PLAN},d=10000,units=1,spread=1,first={self.index}".encode()
-                client.sendall(pack([b"CALL.GET", b"%016x" % number, b"%016x" % number, terms]))
-                if client.recv(MAX_ANSWER_BYTES).startswith(b"$"):
+            while time.monotonic() < deadline:
+                request_number += 1
+                parameters = (
+                    f"c={REQUEST_CLASS},t={PLAN},d=10000,units=1,spread=1,first={self.index}".encode()
+                )
+                client.sendall(
+                    pack([b"CALL.GET", b"%016x" % request_number, b"%016x" % request_number, parameters])
+                )
+                if client.recv(MAX_REPLY_BYTES).startswith(b"$"):
                     return time.monotonic() - self.started_at
                 time.sleep(RETRY_INTERVAL_S)
         return None
 
     def check(self) -> None:
-        """Raise RuntimeError, with the end of its log, where the process has ended."""
+        """Raise RuntimeError with the end of the log if the process has exited."""
         if self.process.poll() is not None:
             raise RuntimeError(
-                f"gateway {self.index} ended with {self.process.returncode}: {self.log_tail()}"
+                f"gateway {self.index} exited with status {self.process.returncode}: {self.log_tail()}"
             )
 
     def log_tail(self) -> str:
-        """The end of its log."""
+        """Return the end of the log."""
         self._log.seek(0)
         return self._log.read().decode(errors="replace")[-LOG_TAIL_CHARACTERS:]
 
     def cpu_seconds(self) -> float:
-        """Processor time so far; of a finer resolution than /proc's, and with ended threads."""
+        """Return the CPU time used so far, at a finer resolution than /proc, and including ended threads."""
         return time.clock_gettime(self._cpu_clock)
 
     def peak_memory(self) -> int:
-        """The most bytes that were resident since its start (VmHWM)."""
+        """Return the peak resident memory in bytes (VmHWM)."""
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
             if line.startswith("VmHWM:"):
                 return int(line.split()[1]) * 1024
         raise RuntimeError(f"/proc/{self.process.pid}/status has no VmHWM")
 
-    def wait_ended(self, timeout_s: float) -> None:
-        """Wait for the end after SIGTERM, at most so long; then the process is killed."""
+    def wait_exited(self, timeout_s: float) -> None:
+        """Wait for the process to exit after SIGTERM; kill it after the timeout."""
         try:
             self.process.wait(max(0.0, timeout_s))
         except subprocess.TimeoutExpired:
@@ -164,13 +169,13 @@
 
 
 class RealFleet:
-    """The first gateways of a fleet as real processes; all have ended when the block is left."""
+    """The first gateways of a fleet as real processes, all of which are stopped when the block is left."""
 
     def __init__(self, count: int, fleet_size: int, fleet_configuration: FleetConfiguration) -> None:
-        """`count` of `fleet_size` gateways; raises RunLimitExceededError where there can't be so many."""
+        """Prepare `count` of `fleet_size` gateways; raises RunLimitExceededError if there are too many."""
         if not 1 <= count <= min(MAX_GATEWAYS, fleet_size):
             raise RunLimitExceededError(
-                f"{count} real gateways of {fleet_size}: at most {MAX_GATEWAYS}, and the fleet"
+                f"{count} real gateways in a fleet of {fleet_size}: limit is {MAX_GATEWAYS} or the fleet size"
             )
         self._count, self._fleet_size, self._fleet_configuration = count, fleet_size, fleet_configuration
         self.gateways: list[RealGateway] = []
@@ -180,43 +185,43 @@
             for index in range(self._count):
                 self.gateways.append(RealGateway(index, self._fleet_size, self._fleet_configuration))
         except BaseException:
-            self._end()
+            self._stop()
             raise
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._end()
+        self._stop()
 
-    def _end(self) -> None:
+    def _stop(self) -> None:
         for gateway in self.gateways:
             gateway.process.terminate()
-        until = time.monotonic() + STOP_TIMEOUT_S
+        deadline = time.monotonic() + STOP_TIMEOUT_S
         for gateway in self.gateways:
-            gateway.wait_ended(until - time.monotonic())
+            gateway.wait_exited(deadline - time.monotonic())
 
     def wait_ready(self) -> list[float]:
-        """Wait for all; returns each one's seconds from its start to its first PONG."""
+        """Wait until all gateways answer PING; returns the seconds from the start of each."""
         return [gateway.wait_ready() for gateway in self.gateways]
 
     def cpu_seconds(self) -> float:
-        """Processor time of all gateways together."""
+        """Return the CPU time of all gateways together."""
         return sum(gateway.cpu_seconds() for gateway in self.gateways)
 
     def peak_memory(self) -> int:
-        """The most bytes that one of them has had resident."""
+        """Return the highest peak resident memory of a gateway, in bytes."""
         return max(gateway.peak_memory() for gateway in self.gateways)
 
-    def wait(self, seconds: float) -> None:
-        """Let time pass.
+    def monitor(self, seconds: float) -> None:
+        """Wait, and check the processes at intervals.
 
-        Raises RuntimeError where a gateway ends, and RunLimitExceededError at too much memory.
+        Raises RuntimeError if a gateway exits, RunLimitExceededError if the run uses too much memory.
         """
-        until = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         while True:
             for gateway in self.gateways:
                 gateway.check()
             check_memory()
-            remaining = until - time.monotonic()
+            remaining = deadline - time.monotonic()
             if remaining <= 0:
                 return
             time.sleep(min(remaining, CHECK_INTERVAL_S))
--- a/rushroad/bench/real/gateway_settings.py
+++ b/rushroad/bench/real/gateway_settings.py
@@ -1,16 +1,16 @@
-"""The settings of real gateways, as their first message would give them."""
+"""The settings of real gateways, in the form that their configuration files hold."""
 
 from __future__ import annotations
 
 from typing import Any
 
-REQUEST_CLASS, PLAN = "quote", "small"  # the one class of requests and the one plan of all tenants
+REQUEST_CLASS, PLAN = "quote", "small"  # all requests are of one class, and all tenants on one plan
 
 
 def gateway_settings(fleet_size: int, index: int) -> dict[str, Any]:
-    """The settings of the gateway with this index in a fleet of this size.
+    """Return the settings of the gateway with this index in a fleet of this size.
 
-    Quotas are wide, so that what is measured is not rejections.
+    Quotas are high, so that admitted requests are measured and not rejections.
     """
     return {
         "classes": [_request_class()],
--- a/rushroad/bench/real/measurements.py
+++ b/rushroad/bench/real/measurements.py
@@ -1,4 +1,4 @@
-"""The measurements on a scene, each of which makes one row."""
+"""Measurements of a scenario, each of which returns one row."""
 
 from __future__ import annotations
 
@@ -19,57 +19,57 @@
     TakeLongestPing,
 )
 from rushroad.bench.real.rows import ChangesRow, CostRow, StartRow
-from rushroad.bench.real.scene import RunningScene, Scene, running
+from rushroad.bench.real.scene import RunningScenario, Scenario, run_scenario
 from rushroad.bench.rows import ConditionRow
 from rushroad.bench.worker import Worker
 
-SETTLE_S = 1.0  # after the start before anything is measured
-MAX_IDLE_S = 5.0  # of measurement without requests
-SERVING_TIMEOUT_S = 20.0  # in which a gateway that answers PING must serve
-OBSERVED_S = 2.0  # after a change, for stalls and late attempts
-MEGABYTE = 1_000_000  # bytes
-UNCONDITIONAL = ConditionRow()
+SETTLE_S = 1.0  # between the start and the first measurement
+MAX_IDLE_S = 5.0  # duration of the measurement without requests
+SERVING_TIMEOUT_S = 20.0  # from the first PONG to the first request served
+OBSERVATION_S = 2.0  # after each removal, for stalls and late attempts
+BYTES_PER_MB = 1_000_000
+NO_CONDITION = ConditionRow()
 
 
-def measure_cost(scene: Scene, condition: ConditionRow = UNCONDITIONAL) -> CostRow:
-    """Measure the gateways without requests, then with them."""
-    with running(scene) as processes:
+def measure_cost(scenario: Scenario, condition: ConditionRow = NO_CONDITION) -> CostRow:
+    """Measure the gateways without load, then under load."""
+    with run_scenario(scenario) as processes:
         fleet = processes.fleet
         ready_s = max(fleet.wait_ready())
-        fleet.wait(SETTLE_S)
-        churn = SetEndpointChurn(changes_per_s=scene.list_changes_per_s)
+        fleet.monitor(SETTLE_S)
+        churn = SetEndpointChurn(changes_per_s=scenario.list_changes_per_s)
         processes.stand_ins.call(churn, Done)
         idle_core_share = _measure_idle(processes)
         before, cpu_before = processes.stand_in_stats(), fleet.cpu_seconds()
-        processes.start_load(scene.seconds)
-        fleet.wait(scene.seconds)
+        processes.start_load(scenario.seconds)
+        fleet.monitor(scenario.seconds)
         result = processes.clients.receive(LoadResult)
         cpu_s, after = fleet.cpu_seconds() - cpu_before, processes.stand_in_stats()
         requests = sum(result.outcomes.values())
         return CostRow(
             **structs.asdict(condition),
-            **_outcomes(result),
+            **_outcome_fields(result),
             tenants_seen=result.tenants_seen,
-            **_latencies(result),
-            **_traffic(before, after, requests),
+            **_latency_fields(result),
+            **_traffic_fields(before, after, requests),
             cpu_us_request=cpu_s / requests * 1e6,
-            core_share=cpu_s / result.seconds / scene.gateways,
+            core_share=cpu_s / result.seconds / scenario.gateways,
             idle_core_share=idle_core_share,
             ready_s=ready_s,
-            peak_mb=fleet.peak_memory() / MEGABYTE,
+            peak_mb=fleet.peak_memory() / BYTES_PER_MB,
         )
 
 
-def _measure_idle(processes: RunningScene) -> float:
-    """The share of a core that a gateway uses without requests."""
-    seconds, fleet = min(MAX_IDLE_S, processes.scene.seconds), processes.fleet
+def _measure_idle(processes: RunningScenario) -> float:
+    """Return the share of a core that a gateway uses without load."""
+    seconds, fleet = min(MAX_IDLE_S, processes.scenario.seconds), processes.fleet
     cpu_before = fleet.cpu_seconds()
-    fleet.wait(seconds)
-    return (fleet.cpu_seconds() - cpu_before) / seconds / processes.scene.gateways
+    fleet.monitor(seconds)
+    return (fleet.cpu_seconds() - cpu_before) / seconds / processes.scenario.gateways
 
 
-def _outcomes(result: LoadResult) -> dict[str, Any]:
-    """Fields of a row: all requests, and each outcome."""
+def _outcome_fields(result: LoadResult) -> dict[str, Any]:
+    """Return the fields of a row for the number of requests and their outcomes."""
     return {
         "requests": sum(result.outcomes.values()),
         "served": result.outcomes[Outcome.SERVED],
@@ -80,8 +80,8 @@
     }
 
 
-def _latencies(result: LoadResult) -> dict[str, Any]:
-    """Fields of a row; none where no request was served."""
+def _latency_fields(result: LoadResult) -> dict[str, Any]:
+    """Return the fields of a row for latencies; none if no request was served."""
     if not result.outcomes[Outcome.SERVED]:
         return {}
     return {
@@ -92,8 +92,8 @@
     }
 
 
-def _traffic(before: StandInStats, after: StandInStats, requests: int) -> dict[str, Any]:
-    """Fields of a row: what came to the stand-ins meanwhile, some of it for each request."""
+def _traffic_fields(before: StandInStats, after: StandInStats, requests: int) -> dict[str, Any]:
+    """Return the fields of a row for the traffic at the stand-ins, in total or per request."""
     servers, servers_before = after.rate_servers, before.rate_servers
     counter, counter_before = after.counter, before.counter
     counter_bytes = counter.bytes_in - counter_before.bytes_in + counter.bytes_out - counter_before.bytes_out
@@ -108,58 +108,62 @@
     }
 
 
-def measure_start(scene: Scene, condition: ConditionRow = UNCONDITIONAL) -> StartRow:
-    """Measure how long a start takes with an endpoint list of this size, and its peak memory."""
-    with running(scene) as processes:
+def measure_start(scenario: Scenario, condition: ConditionRow = NO_CONDITION) -> StartRow:
+    """Measure the start time and the peak memory of a gateway with an endpoint list of this size."""
+    with run_scenario(scenario) as processes:
         fleet = processes.fleet
         (ready_s,) = fleet.wait_ready()
         serving_s = fleet.gateways[0].wait_serving(SERVING_TIMEOUT_S)
-        fleet.wait(SETTLE_S)
+        fleet.monitor(SETTLE_S)
         return StartRow(
             **structs.asdict(condition),
             ready_s=ready_s,
             serving_s="never" if serving_s is None else serving_s,
             cpu_s=fleet.cpu_seconds(),
-            peak_mb=fleet.peak_memory() / MEGABYTE,
+            peak_mb=fleet.peak_memory() / BYTES_PER_MB,
         )
 
 
 class _Observation(NamedTuple):
-    used_removed: int  # endpoints removed that had had attempts
+    used_removed: int  # removed endpoints that had received attempts
     stall_ms: float
     cpu_s: float
 
 
-def _observe_removal(processes: RunningScene, pings: Worker, count: int, seconds: float) -> _Observation:
-    """Remove so many endpoints in one message, and observe the gateway for so long."""
+def _observe_removal(processes: RunningScenario, pinger: Worker, count: int, seconds: float) -> _Observation:
+    """Remove `count` endpoints in one message, then observe the gateway for `seconds`."""
     fleet, used_removed = processes.fleet, 0
-    pings.call(TakeLongestPing(), LongestPing)
+    pinger.call(TakeLongestPing(), LongestPing)
     cpu_before = fleet.cpu_seconds()
     if count:
         used_removed = processes.stand_ins.call(RemoveEndpoints(count=count), RemovedEndpoints).used
-    fleet.wait(seconds)
-    stall_ms = pings.call(TakeLongestPing(), LongestPing).seconds * 1e3
+    fleet.monitor(seconds)
+    stall_ms = pinger.call(TakeLongestPing(), LongestPing).seconds * 1e3
     return _Observation(used_removed, stall_ms, fleet.cpu_seconds() - cpu_before)
 
 
 def measure_changes(
-    scene: Scene, burst: int, condition: ConditionRow = UNCONDITIONAL, observed_s: float = OBSERVED_S
+    scenario: Scenario,
+    burst: int,
+    condition: ConditionRow = NO_CONDITION,
+    observation_s: float = OBSERVATION_S,
 ) -> ChangesRow:
-    """Measure the longest stall without a change, at one endpoint removed and at a burst, under load.
+    """Measure the longest stall under load: without a change, as one endpoint is removed, and as a burst is.
 
-    `observed_s`: seconds for which each is observed; late attempts can be seen only beyond LATE_AFTER_S.
+    Each of the three is observed for `observation_s`; late attempts are detected only if this is longer than
+    LATE_AFTER_S.
     """
-    burst = min(burst, scene.size.rate_servers // 2)
-    with running(scene) as processes, Worker("rushroad.bench.load") as pings:
+    burst = min(burst, scenario.size.rate_servers // 2)
+    with run_scenario(scenario) as processes, Worker("rushroad.bench.load") as pinger:
         fleet = processes.fleet
         fleet.wait_ready()
-        fleet.wait(SETTLE_S)
-        pings.call(StartPings(gateway=fleet.gateways[0].address), Done)
-        processes.start_load(4 * observed_s)
+        fleet.monitor(SETTLE_S)
+        pinger.call(StartPings(gateway=fleet.gateways[0].address), Done)
+        processes.start_load(4 * observation_s)
         before = processes.stand_in_stats()
-        quiet = _observe_removal(processes, pings, 0, observed_s)
-        one = _observe_removal(processes, pings, 1, observed_s)
-        many = _observe_removal(processes, pings, burst, observed_s)
+        quiet = _observe_removal(processes, pinger, 0, observation_s)
+        one = _observe_removal(processes, pinger, 1, observation_s)
+        many = _observe_removal(processes, pinger, burst, observation_s)
         result = processes.clients.receive(LoadResult)
         after = processes.stand_in_stats()
         return ChangesRow(
@@ -173,8 +177,8 @@
             used_removed_burst=many.used_removed,
             stall_burst_ms=many.stall_ms,
             cpu_burst_s=many.cpu_s,
-            **_outcomes(result),
+            **_outcome_fields(result),
             attempts=after.rate_servers.attempts - before.rate_servers.attempts,
             late_attempts=after.rate_servers.late_attempts - before.rate_servers.late_attempts,
-            peak_mb=fleet.peak_memory() / MEGABYTE,
+            peak_mb=fleet.peak_memory() / BYTES_PER_MB,
         )
--- a/rushroad/bench/real/rows.py
+++ b/rushroad/bench/real/rows.py
@@ -1,4 +1,4 @@
-"""The rows of the experiments on real gateways."""
+"""Rows of the experiments on real gateways."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CostRow(ConditionRow, frozen=True, kw_only=True):
-    """What requests cost the gateways. Latencies are missing where no request was served."""
+    """The cost of requests at the gateways. Latencies are missing if no request was served."""
 
     requests: int
     served: int
@@ -21,11 +21,11 @@
     latency_p50_ms: float | UnsetType = UNSET
     latency_p99_ms: float | UnsetType = UNSET
     latency_p999_ms: float | UnsetType = UNSET  # in older records only
-    added_p50_ms: float | UnsetType = UNSET  # latency without the rate server's work
+    added_p50_ms: float | UnsetType = UNSET  # latency less the service time
     added_p99_ms: float | UnsetType = UNSET
     added_p999_ms: float | UnsetType = UNSET  # in older records only
     attempts: int
-    late_attempts: int  # to endpoints removed a while before
+    late_attempts: int  # to endpoints removed more than LATE_AFTER_S before
     syntax_errors: int = msgspec.field(name="syntax")
     list_changes: int = msgspec.field(name="changes")
     connects_request: float
@@ -39,7 +39,7 @@
 
 
 class DemoRow(ConditionRow, frozen=True, kw_only=True):
-    """A demo: outcomes, attempts and latencies."""
+    """Outcomes, attempts and latencies of a demo."""
 
     requests: int
     served: int
@@ -55,7 +55,7 @@
 
 
 class CounterBytesRow(ConditionRow, frozen=True, kw_only=True):
-    """Calls to the counter, and bytes to it and back, for each request."""
+    """Calls to the counter, and their bytes in both directions, per request."""
 
     requests: int
     served: int
@@ -64,18 +64,18 @@
 
 
 class StartRow(ConditionRow, frozen=True, kw_only=True):
-    """The start of a gateway with its whole endpoint list."""
+    """The start of a gateway with a whole endpoint list."""
 
     ready_s: float
-    serving_s: float | str  # "never" where no request was served in time
+    serving_s: float | str  # "never" if no request was served before the timeout
     cpu_s: float
     peak_mb: float
 
 
 class ChangesRow(ConditionRow, frozen=True, kw_only=True):
-    """The longest stalls: without a change, at one endpoint removed, and at a burst in one message.
+    """The longest stalls: without a change, as one endpoint is removed, and as a burst is in one message.
 
-    How many of the removed endpoints had had attempts is missing in older records.
+    The numbers of removed endpoints that had received attempts are missing in older records.
     """
 
     burst: int  # endpoints removed in one message
--- a/rushroad/bench/real/run_limits.py
+++ b/rushroad/bench/real/run_limits.py
@@ -1,4 +1,4 @@
-"""The bounds of a run on real gateways: time, and memory of all its processes together."""
+"""Limits of a run on real gateways: its time, and the memory of all its processes together."""
 
 from __future__ import annotations
 
@@ -8,45 +8,45 @@
 
 import psutil
 
-MAX_MEMORY_BYTES = 12 * 10**9  # of all processes of a run together
+MAX_MEMORY_BYTES = 12 * 10**9  # resident, of all processes of a run together
 
 
 class RunLimitExceededError(RuntimeError):
-    """The run would take more of the machine, or more time, than it may."""
+    """The run exceeds a limit on processes, memory or time."""
 
 
 @contextlib.contextmanager
 def time_limit(seconds: float) -> Iterator[None]:
-    """End what runs inside with RunLimitExceededError after so many seconds, wherever it waits."""
+    """Raise RunLimitExceededError in the block after this time, even if it is blocked in a call."""
 
     def on_alarm(*_: object) -> None:
-        raise RunLimitExceededError(f"the run took longer than {seconds:g} s")
+        raise RunLimitExceededError(f"run exceeded its time limit of {seconds:g} s")
 
-    before = signal.signal(signal.SIGALRM, on_alarm)
+    previous_handler = signal.signal(signal.SIGALRM, on_alarm)
     signal.setitimer(signal.ITIMER_REAL, seconds)
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
-        signal.signal(signal.SIGALRM, before)
+        signal.signal(signal.SIGALRM, previous_handler)
 
 
 @contextlib.contextmanager
 def sigterm_as_exit() -> Iterator[None]:
-    """SIGTERM ends what runs inside as Ctrl-C does: by leaving its blocks, which end all processes."""
+    """Raise SystemExit on SIGTERM, so that context managers in the block stop all processes, as on Ctrl-C."""
 
     def on_sigterm(*_: object) -> None:
         raise SystemExit(128 + signal.SIGTERM)
 
-    before = signal.signal(signal.SIGTERM, on_sigterm)
+    previous_handler = signal.signal(signal.SIGTERM, on_sigterm)
     try:
         yield
     finally:
-        signal.signal(signal.SIGTERM, before)
+        signal.signal(signal.SIGTERM, previous_handler)
 
 
 def check_memory() -> None:
-    """Raise RunLimitExceededError where the bench and all its processes hold too much memory."""
+    """Raise RunLimitExceededError if the bench and its child processes use too much memory."""
     bench = psutil.Process()
     resident = 0
     for process in (bench, *bench.children(recursive=True)):
@@ -54,5 +54,5 @@
             resident += process.memory_info().rss
     if resident > MAX_MEMORY_BYTES:
         raise RunLimitExceededError(
-            f"the run holds {resident / 1e9:.1f} GB, more than {MAX_MEMORY_BYTES / 1e9:g} GB"
+            f"run uses {resident / 1e9:.1f} GB of memory, above its limit of {MAX_MEMORY_BYTES / 1e9:g} GB"
         )
--- a/rushroad/bench/real/runs.py
+++ b/rushroad/bench/real/runs.py
@@ -1,4 +1,4 @@
-"""Runs of several rows: error rows in place of what can't be measured, and lines fitted through the rows."""
+"""Runs of several rows: error rows for failed measurements, and lines fitted through the other rows."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from rushroad.bench.options import append_to
 from rushroad.bench.real.measurements import measure_cost
 from rushroad.bench.real.rows import ChangesRow
-from rushroad.bench.real.scene import Scene, log
+from rushroad.bench.real.scene import Scenario, log
 from rushroad.bench.report import Run, fit_row
 from rushroad.bench.rows import ConditionRow, ErrorRow, Row
 
@@ -22,46 +22,46 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One row of a run: its scene, and what differs in it from the other rows."""
+    """One row of a run: its scenario, and the condition that varies between rows."""
 
     condition: ConditionRow
-    scene: Scene
+    scenario: Scenario
 
 
 def add_measured(run: Run, condition: ConditionRow, measure: Callable[[], Row]) -> None:
-    """Add a measured row, or an error row where it could not be measured."""
+    """Add the row that `measure` returns, or an error row if it fails."""
     try:
         run.add(measure())
     except (RuntimeError, OSError) as error:
-        log.error("not measured", error=str(error), **condition.columns())
+        log.error("measurement failed", error=str(error), **condition.columns())
         message = str(error)[:MAX_ERROR_CHARACTERS]
         run.add(ErrorRow(**structs.asdict(condition), error=message))
         return
-    log.info("measured", **run.rows[-1].columns())
+    log.info("measurement finished", **run.rows[-1].columns())
 
 
 def measure_costs(experiment: str, cases: Sequence[Case], seed: int) -> Run:
-    """A run with one row a case."""
-    run = Run(experiment, seed, cases[0].scene.parameters())
+    """Return a run with one row for each case."""
+    run = Run(experiment, seed, cases[0].scenario.parameters())
     for case in cases:
-        add_measured(run, case.condition, partial(measure_cost, case.scene, case.condition))
+        add_measured(run, case.condition, partial(measure_cost, case.scenario, case.condition))
     return run
 
 
 def add_fits(run: Run, x: str, ys: Iterable[str]) -> None:
-    """Add a line through the run's rows for each column of `ys`, where two or more rows differ in `x`.
+    """Add a fitted line for each column of `ys` over the column `x`, if two or more rows differ in `x`.
 
-    Rows with lost requests are left out: what these would have cost is not known.
+    Rows with lost requests are left out, as the cost of lost requests is not known.
     """
     rows = [row.columns() for row in run.rows]
     for y in ys:
         points = [(float(row[x]), float(row[y])) for row in rows if y in row and not row.get("lost")]
-        if len({at for at, _ in points}) > 1:
+        if len({x_value for x_value, _ in points}) > 1:
             run.add(fit_row(f"{y} by {x}", points))
 
 
 def finish(run: Run, out: Path | None) -> None:
-    """Print the table, and the record behind it or to the file; exit with 1 where a row has failed."""
+    """Print the table, and the record after it or to the file; exit with status 1 if a row has failed."""
     if out is None:
         run.finish(sys.stdout)
     else:
@@ -71,5 +71,5 @@
 
 
 def _has_failed(row: Row) -> bool:
-    """True for a row that was not measured, and for attempts to endpoints that were removed before."""
+    """Return whether the measurement failed, or saw late attempts to removed endpoints."""
     return isinstance(row, ErrorRow) or (isinstance(row, ChangesRow) and row.late_attempts > 0)
--- a/rushroad/bench/real/scene.py
+++ b/rushroad/bench/real/scene.py
@@ -1,4 +1,4 @@
-"""What one row is measured on: real gateways, stand-ins and clients, and the processes while they run."""
+"""The scenario of one row, and its processes: real gateways, stand-ins and clients."""
 
 from __future__ import annotations
 
@@ -21,34 +21,34 @@
 from rushroad.bench.stand_ins.rate_servers import rate_server_address
 from rushroad.bench.worker import Worker
 
-PEAK_REQUEST_RATE = 173.0  # requests a second at a gateway at the planned peak
-MAX_ENTRY_POINTS = 3  # gateways that a tenant's requests come through
-CLIENT_DEADLINE_MS = 10_000  # the class's
-TIME_LIMIT_S = 240.0  # of one scene, beside its seconds of requests
+PEAK_REQUEST_RATE = 173.0  # requests/s to a gateway at the planned peak
+MAX_ENTRY_POINTS = 3  # number of gateways over which a tenant's requests are spread
+CLIENT_DEADLINE_MS = 10_000  # as in the request class
+TIME_LIMIT_S = 240.0  # of one scenario, in addition to the duration of its load
 log = structlog.wrap_logger(structlog.PrintLogger(sys.stderr))
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
+class Scenario:
     """The size and the conditions of one measurement.
 
-    `gateways` real ones are started, the first of a fleet of `size.gateways`: a fleet's size is in their
-    settings, and how many run here is limited by the machine.
+    `gateways` processes are started, as the first gateways of a fleet of `size.gateways`. The size of the
+    fleet is given in their settings, as the machine limits the number of processes.
     """
 
     size: FleetSize
     gateways: int = 1
-    request_rate: float = PEAK_REQUEST_RATE  # a second at each gateway
-    seconds: float = 10.0  # of requests
+    request_rate: float = PEAK_REQUEST_RATE  # requests/s to each gateway
+    seconds: float = 10.0  # duration of the load
     tenants: int = 1_000
-    work_ms: float = 20.0  # of a rate server on a request
+    work_ms: float = 20.0  # service time of a request at a rate server
     list_changes_per_s: float = 0.0
-    list_indent: int | None = None  # of discovery's JSON
-    list_configured: bool = True  # the endpoint list is in the configuration; else discovery sends all of it
+    list_indent: int | None = None  # of discovery's JSON; None puts each message on one line
+    list_configured: bool = True  # endpoint list in the configuration, not from discovery
     seed: int = 1
 
     def parameters(self) -> dict[str, Any]:
-        """The scene by the names that records use."""
+        """Return the parameters by their names in stored records."""
         return {
             "size": str(self.size),
             "gateways": self.gateways,
@@ -64,71 +64,71 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunningScene:
-    """The processes of a scene while they run."""
+class RunningScenario:
+    """The running processes of a scenario."""
 
-    scene: Scene
+    scenario: Scenario
     stand_ins: Worker
     clients: Worker
     fleet: RealFleet
 
     def stand_in_stats(self) -> StandInStats:
-        """What has come to the stand-ins so far."""
+        """Return the statistics of the stand-ins since their start."""
         return self.stand_ins.call(GetStats(), StandInStats)
 
     def start_load(self, seconds: float) -> None:
-        """Begin with the scene's requests, for so long; the clients' reply is their LoadResult."""
-        scene, gateways = self.scene, self.fleet.gateways
-        request_rate = scene.request_rate * len(gateways)
+        """Start the scenario's load for this time; the clients reply with a LoadResult at its end."""
+        scenario, gateways = self.scenario, self.fleet.gateways
+        request_rate = scenario.request_rate * len(gateways)
         self.clients.send(
             StartLoad(
                 gateways=tuple(gateway.address for gateway in gateways),
                 gateway_indices=tuple(gateway.index for gateway in gateways),
-                fleet_size=scene.size.gateways,
+                fleet_size=scenario.size.gateways,
                 request_rate=request_rate,
                 requests=max(1, round(request_rate * seconds)),
-                tenants=scene.tenants,
-                entry_points=min(MAX_ENTRY_POINTS, scene.size.gateways),
+                tenants=scenario.tenants,
+                entry_points=min(MAX_ENTRY_POINTS, scenario.size.gateways),
                 deadline_ms=CLIENT_DEADLINE_MS,
                 request_class=REQUEST_CLASS,
                 plan=PLAN,
-                seed=scene.seed,
+                seed=scenario.seed,
             )
         )
 
 
 @contextlib.contextmanager
-def running(scene: Scene) -> Iterator[RunningScene]:
-    """Start stand-ins, clients and gateways; all have ended when the block is left, whatever happened."""
-    log.info("start", **scene.parameters())
+def run_scenario(scenario: Scenario) -> Iterator[RunningScenario]:
+    """Start stand-ins, clients and gateways; all are stopped when the block is left, also by an exception."""
+    log.info("scenario started", **scenario.parameters())
     with (
         sigterm_as_exit(),
-        time_limit(TIME_LIMIT_S + scene.seconds),
+        time_limit(TIME_LIMIT_S + scenario.seconds),
         tempfile.TemporaryDirectory(prefix="rushroad-bench-") as folder,
         Worker("rushroad.bench.stand_ins") as stand_ins,
         Worker("rushroad.bench.load") as clients,
     ):
         command = StartStandIns(
-            rate_servers=scene.size.rate_servers,
-            work_s=scene.work_ms / 1e3,
+            rate_servers=scenario.size.rate_servers,
+            work_s=scenario.work_ms / 1e3,
             load_reports=True,
-            indent=scene.list_indent,
-            seed=scene.seed,
+            indent=scenario.list_indent,
+            seed=scenario.seed,
         )
         addresses = stand_ins.call(command, StandInAddresses)
         fleet_configuration = FleetConfiguration(
-            addresses.discovery, addresses.counter, _known_endpoints(scene, addresses), Path(folder)
+            addresses.discovery, addresses.counter, _known_endpoints(scenario, addresses), Path(folder)
         )
-        with RealFleet(scene.gateways, scene.size.gateways, fleet_configuration) as fleet:
-            yield RunningScene(scene, stand_ins, clients, fleet)
+        with RealFleet(scenario.gateways, scenario.size.gateways, fleet_configuration) as fleet:
+            yield RunningScenario(scenario, stand_ins, clients, fleet)
 
 
-def _known_endpoints(scene: Scene, addresses: StandInAddresses) -> dict[str, Any]:
-    """The endpoint list in the gateways' configuration, by the published names of its fields."""
+def _known_endpoints(scenario: Scenario, addresses: StandInAddresses) -> dict[str, Any]:
+    """Return the endpoint list for the gateways' configuration, as a message of discovery's watch."""
     port = int(addresses.first_rate_server.rpartition(":")[2])
-    indices = range(scene.size.rate_servers if scene.list_configured else 0)
+    indices = range(scenario.size.rate_servers if scenario.list_configured else 0)
     return {
-        "generation": int(scene.list_configured),
+        "generation": int(scenario.list_configured),
         "reset": True,
         "instances": [endpoint_entry(index, rate_server_address(index, port)) for index in indices],
     }
--- a/tests/bench/real/conftest.py
+++ b/tests/bench/real/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests on real gateways."""
+"""Fixtures of the tests with real gateways."""
 
 import json
 from collections.abc import Callable
@@ -14,12 +14,12 @@
 
 @pytest.fixture
 def run_command() -> RunCommand:
-    """Run a subcommand that must succeed; returns the record that it prints behind its table."""
+    """Run a subcommand, which must succeed, and return the record that it prints after its table."""
 
-    def run_command(*words: str) -> dict[str, Any]:
-        done = CliRunner().invoke(main, words, catch_exceptions=False)
-        assert done.exit_code == 0, done.output
-        (line,) = [line for line in done.stdout.splitlines() if line.startswith("{")]
+    def run_command(*arguments: str) -> dict[str, Any]:
+        result = CliRunner().invoke(main, arguments, catch_exceptions=False)
+        assert result.exit_code == 0, result.output
+        (line,) = [line for line in result.stdout.splitlines() if line.startswith("{")]
         record: dict[str, Any] = json.loads(line)
         return record
 
--- a/tests/bench/real/test_commands.py
+++ b/tests/bench/real/test_commands.py
@@ -1,4 +1,4 @@
-"""Short forms of the subcommands on real gateways; and that no process is left."""
+"""Tests of the subcommands on real gateways, in short runs."""
 
 import json
 import signal
@@ -15,10 +15,10 @@
 from rushroad.bench.cli import main
 from rushroad.bench.worker import REPOSITORY_ROOT
 
-PROCESSES = 4  # of a demo of two gateways: these, the stand-ins and the clients
+PROCESSES = 4  # of a demo with two gateways: these, the stand-ins and the clients
 
 
-def test_a_demo_serves_all_and_leaves_no_process(run_command: Callable[..., dict[str, Any]]) -> None:
+def test_a_demo_serves_all_requests_and_leaves_no_process(run_command: Callable[..., dict[str, Any]]) -> None:
     record = run_command("demo", "--size", "2/12", "--rate", "50", "--seconds", "1", "--work-ms", "1")
     (row,) = record["rows"]
     counts = {name: row[name] for name in ("requests", "served", "refused", "failed", "lost", "wrong")}
@@ -28,22 +28,24 @@
     assert psutil.Process().children(recursive=True) == []
 
 
-@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
-def test_an_interrupted_demo_leaves_no_process(number: signal.Signals) -> None:
-    words = (sys.executable, "-m", "rushroad.bench.cli", "demo", "--size", "2/12", "--seconds", "600")
-    with subprocess.Popen(words, cwd=REPOSITORY_ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE) as demo:
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
+def test_an_interrupted_demo_leaves_no_process(signal_number: signal.Signals) -> None:
+    command = (sys.executable, "-m", "rushroad.bench.cli", "demo", "--size", "2/12", "--seconds", "600")
+    with subprocess.Popen(
+        command, cwd=REPOSITORY_ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE
+    ) as demo:
         bench = psutil.Process(demo.pid)
-        found: list[psutil.Process] = []
-        while len(found) < PROCESSES:
+        processes: list[psutil.Process] = []
+        while len(processes) < PROCESSES:
             assert demo.poll() is None
-            found = bench.children(recursive=True)
-        demo.send_signal(number)
+            processes = bench.children(recursive=True)
+        demo.send_signal(signal_number)
         try:
             demo.communicate(timeout=60)
         finally:
-            demo.kill()  # one that goes on fails the test, and holds up no other
+            demo.kill()  # a demo that is still running fails this test and must not disturb others
         assert demo.returncode != 0
-    _, remaining = psutil.wait_procs(found, timeout=60)
+    _, remaining = psutil.wait_procs(processes, timeout=60)
     assert remaining == []
 
 
@@ -55,13 +57,13 @@
     ]
 
 
-def test_a_gateway_that_does_not_start_makes_a_row_with_its_log_and_an_exit_code(
+def test_a_gateway_that_does_not_start_is_reported_in_an_error_row_and_the_exit_status(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     deploy_file = tmp_path / "deploy.toml"
     deploy_file.write_text('run = "echo no such gateway; exit 3"')
     monkeypatch.setattr("rushroad.bench.real.gateway_processes.DEPLOY_FILE", deploy_file)
-    done = CliRunner().invoke(main, ["demo", "--size", "1/3"])
-    assert done.exit_code == 1
-    (line,) = [line for line in done.stdout.splitlines() if line.startswith("{")]
-    assert json.loads(line)["rows"][0]["error"] == "gateway 0 ended with 3: no such gateway\n"
+    result = CliRunner().invoke(main, ["demo", "--size", "1/3"])
+    assert result.exit_code == 1
+    (line,) = [line for line in result.stdout.splitlines() if line.startswith("{")]
+    assert json.loads(line)["rows"][0]["error"] == "gateway 0 exited with status 3: no such gateway\n"
--- a/tests/bench/real/test_run_limits.py
+++ b/tests/bench/real/test_run_limits.py
@@ -1,4 +1,4 @@
-"""The bounds of a run on real gateways."""
+"""Tests of the limits of a run on real gateways."""
 
 import signal
 from pathlib import Path
@@ -9,12 +9,12 @@
 from rushroad.bench.real.run_limits import RunLimitExceededError, time_limit
 
 
-def test_more_gateways_than_may_run_are_an_error(tmp_path: Path) -> None:
+def test_more_gateways_than_the_limit_are_an_error(tmp_path: Path) -> None:
     with pytest.raises(RunLimitExceededError):
         RealFleet(191, 4_900, FleetConfiguration("", "", {}, tmp_path))
 
 
-def test_a_run_ends_at_its_time_limit_wherever_it_waits() -> None:
+def test_a_blocked_run_ends_at_its_time_limit() -> None:
     handler = signal.getsignal(signal.SIGALRM)
     with pytest.raises(RunLimitExceededError), time_limit(0.01):
         signal.pause()
--- a/tests/bench/real/test_runs.py
+++ b/tests/bench/real/test_runs.py
@@ -1,4 +1,4 @@
-"""Runs of several rows: rows that fail, and the lines through the others."""
+"""Tests of runs of several rows: error rows, and lines fitted through the other rows."""
 
 from pathlib import Path
 
@@ -41,21 +41,19 @@
     )
 
 
-def test_a_run_whose_rows_are_all_measured_ends_without_an_exit(
-    run: Run, changes_row: ChangesRow, tmp_path: Path
-) -> None:
+def test_a_run_without_failed_rows_does_not_exit(run: Run, changes_row: ChangesRow, tmp_path: Path) -> None:
     run.add(changes_row)
     finish(run, tmp_path / "out.jsonl")
     assert len((tmp_path / "out.jsonl").read_text().splitlines()) == 1
 
 
-def test_a_late_attempt_makes_the_exit_code_1(run: Run, changes_row: ChangesRow, tmp_path: Path) -> None:
+def test_a_late_attempt_sets_the_exit_status_to_1(run: Run, changes_row: ChangesRow, tmp_path: Path) -> None:
     run.add(structs.replace(changes_row, late_attempts=1))
     with pytest.raises(SystemExit, match="1"):
         finish(run, tmp_path / "out.jsonl")
 
 
-def test_a_row_that_is_not_measured_keeps_its_condition_and_the_start_of_the_error(run: Run) -> None:
+def test_an_error_row_has_the_condition_and_the_start_of_the_error(run: Run) -> None:
     def measure() -> ConditionRow:
         raise RuntimeError("x" * 300)
 
@@ -63,7 +61,7 @@
     assert run.rows == [ErrorRow(rate=43.0, error="x" * 200)]
 
 
-def test_rows_with_lost_requests_are_no_points_of_a_line(run: Run, changes_row: ChangesRow) -> None:
+def test_rows_with_lost_requests_are_left_out_of_fitted_lines(run: Run, changes_row: ChangesRow) -> None:
     for servers, peak_mb, lost in ((60, 1.0, 0), (80, 9.0, 3), (100, 3.0, 0)):
         run.add(structs.replace(changes_row, servers=servers, peak_mb=peak_mb, lost=lost))
     add_fits(run, "servers", ["peak_mb"])
--- a/tests/support/bench_peers.py
+++ b/tests/support/bench_peers.py
@@ -1,4 +1,4 @@
-"""Blocking sockets to the bench's stand-ins."""
+"""Blocking client sockets for tests of the bench's stand-ins."""
 
 import json
 import socket
@@ -10,23 +10,23 @@
     return socket.create_connection((host, int(port)), timeout=30)
 
 
-def read_until(peer: socket.socket, end: bytes) -> bytes:
+def read_until(client: socket.socket, end: bytes) -> bytes:
     data = b""
     while end not in data:
-        part = peer.recv(1 << 16)
-        assert part, data
-        data += part
+        chunk = client.recv(1 << 16)
+        assert chunk, data
+        data += chunk
     return data
 
 
 def open_watch(address: str, generation: int) -> socket.socket:
-    peer = connect(address)
+    client = connect(address)
     request = f"GET /v1/servers?watch=1&from={generation} HTTP/1.1\r\nHost: {address}\r\n\r\n"
-    peer.sendall(request.encode())
-    return peer
+    client.sendall(request.encode())
+    return client
 
 
-def next_message(peer: socket.socket) -> Any:
-    """The next message of a watch; heartbeats are skipped."""
-    data = read_until(peer, b"}\n\r\n")
+def next_message(client: socket.socket) -> Any:
+    """Return the next message of a watch, after any heartbeats."""
+    data = read_until(client, b"}\n\r\n")
     return json.loads(data[data.index(b"{") : data.rindex(b"}") + 1])
