--- a/rushroad/bench/client_connections.py
+++ b/rushroad/bench/client_connections.py
@@ -8,9 +8,7 @@
 
 from rushroad.bench.commands import Outcome
 
-MAX_CONNECTIONS = (
-    400  # to one gateway, which accepts 744 client connections with a limit of 1,024 descriptors
-)
+MAX_CONNECTIONS = 400  # to one gateway, which accepts 744 of clients if limited to 1,024 descriptors
 
 
 class ClientRequest:
@@ -78,9 +76,7 @@
         self._idle: list[_Connection] = []
         self._open = 0
         self._queue: list[ClientRequest] = []
-        self._connect_tasks: set[asyncio.Task[None]] = (
-            set()
-        )  # strong references, as the loop holds only weak ones
+        self._connect_tasks: set[asyncio.Task[None]] = set()  # the loop keeps no strong references
 
     def send(self, request: ClientRequest) -> None:
         """Send on an idle connection or on a new one; queue the request at the limit of connections."""
--- a/rushroad/bench/commands.py
+++ b/rushroad/bench/commands.py
@@ -45,7 +45,7 @@
 class RemoveEndpoints(Command, frozen=True, kw_only=True, tag="remove"):
     """Removes `count` endpoints from the list in one message.
 
-    The half with the most attempts, of the endpoints that have received any, are removed before others.
+    It begins with those that received the most attempts, up to half of all that received any.
     """
 
     count: int
@@ -88,7 +88,7 @@
 
 
 class GetStats(Command, frozen=True, kw_only=True, tag="figures"):
-    """Requests the statistics of the stand-ins since their start."""
+    """Asks for the statistics of the stand-ins since their start."""
 
 
 class RateServerStats(Reply, kw_only=True):
@@ -187,7 +187,7 @@
 
 
 class TakeLongestPing(Command, frozen=True, kw_only=True, tag="stall"):
-    """Requests the longest round trip of a PING since the last such command."""
+    """Asks for the longest round trip of a PING since the last such command."""
 
 
 class LongestPing(Reply, kw_only=True):
--- a/rushroad/bench/real/commands.py
+++ b/rushroad/bench/real/commands.py
@@ -29,7 +29,7 @@
     "--gateways", default=1, show_default=True, help="Real gateways to start; the fleet can be larger."
 )
 seconds_option = click.option(
-    "--seconds", default=10.0, show_default=True, help="Duration of the load of each row."
+    "--seconds", default=10.0, show_default=True, help="Duration of the load for each row."
 )
 rate_option = click.option(
     "--rate", default=PEAK_REQUEST_RATE, show_default=True, help="Requests/s to each gateway."
@@ -128,7 +128,7 @@
 @click.option(
     "--rate", default=MANY_TENANTS_REQUEST_RATE, show_default=True, help="Requests/s to each gateway."
 )
-@click.option("--seconds", default=30.0, show_default=True, help="Duration of the load of each row.")
+@click.option("--seconds", default=30.0, show_default=True, help="Duration of the load for each row.")
 @work_option
 @gateways_option
 @seed_option
@@ -200,7 +200,7 @@
 @seed_option
 @out_option
 def changes_command(sizes: str, burst: int, rate: float, work_ms: float, seed: int, out: Path | None) -> None:
-    """Measure the longest stall and late attempts as endpoints are removed, one and in a burst."""
+    """Measure the longest stall and late attempts as one endpoint is removed, then a burst."""
     run = Run("changes", seed, {"sizes": sizes, "burst": burst, "rate": rate, "work_ms": work_ms})
     for size in parse_sizes(sizes):
         scenario, condition = (
--- a/rushroad/bench/real/gateway_processes.py
+++ b/rushroad/bench/real/gateway_processes.py
@@ -26,7 +26,7 @@
 START_TIMEOUT_S = 120.0  # for the first PONG
 STOP_TIMEOUT_S = 6.0  # between SIGTERM and SIGKILL
 RETRY_INTERVAL_S = 0.01  # between connects to a gateway that has just been started
-CHECK_INTERVAL_S = 0.5  # between checks that the processes run within the memory limit
+CHECK_INTERVAL_S = 0.5  # between checks of the processes and their memory
 LOG_TAIL_CHARACTERS = 2_000
 MAX_REPLY_BYTES = 1 << 16
 LIBC = ctypes.CDLL(None)
@@ -175,7 +175,8 @@
         """Prepare `count` of `fleet_size` gateways; raises RunLimitExceededError if there are too many."""
         if not 1 <= count <= min(MAX_GATEWAYS, fleet_size):
             raise RunLimitExceededError(
-                f"{count} real gateways in a fleet of {fleet_size}: limit is {MAX_GATEWAYS} or the fleet size"
+                f"cannot start {count} real gateways: the limit is the fleet size ({fleet_size}), "
+                f"and at most {MAX_GATEWAYS}"
             )
         self._count, self._fleet_size, self._fleet_configuration = count, fleet_size, fleet_configuration
         self.gateways: list[RealGateway] = []
--- a/rushroad/bench/real/scene.py
+++ b/rushroad/bench/real/scene.py
@@ -44,7 +44,7 @@
     work_ms: float = 20.0  # service time of a request at a rate server
     list_changes_per_s: float = 0.0
     list_indent: int | None = None  # of discovery's JSON; None puts each message on one line
-    list_configured: bool = True  # endpoint list in the configuration, not from discovery
+    list_configured: bool = True  # the configuration has the endpoint list; else discovery sends all of it
     seed: int = 1
 
     def parameters(self) -> dict[str, Any]:
--- a/rushroad/bench/stand_ins/discovery_watch.py
+++ b/rushroad/bench/stand_ins/discovery_watch.py
@@ -12,7 +12,7 @@
     from rushroad.bench.stand_ins.discovery import Discovery
 
 CHUNK_BYTES = 1 << 16  # of a response body
-NOT_STARTED = -1  # placeholder for a generation
+UNKNOWN_GENERATION = -1  # before the gateway has asked for a watch
 
 
 class Watch(asyncio.Protocol):
@@ -22,7 +22,7 @@
         self._discovery = discovery
         self._http = h11.Connection(h11.SERVER)
         self._transport: asyncio.Transport
-        self._generation = NOT_STARTED  # of the list that the gateway has
+        self._generation = UNKNOWN_GENERATION  # of the list that the gateway has
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport."""
