--- a/rushroad/policy/active_endpoints.py
+++ b/rushroad/policy/active_endpoints.py
@@ -11,8 +11,7 @@
 from random import Random
 
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter, EndpointConcurrency
-from rushroad.policy.durations import SECOND
-from rushroad.policy.endpoints import EndpointTable
+from rushroad.policy.endpoint_table import EndpointTable
 from rushroad.policy.events import Endpoint, EndpointState
 from rushroad.policy.latency import RelativeLatency
 from rushroad.policy.load_estimate import LoadEstimate
@@ -20,6 +19,7 @@
 from rushroad.policy.settings import Settings
 from rushroad.policy.slow_start import SlowStart, SlowStartBudget
 from rushroad.policy.throughput import ClassThroughput
+from rushroad.policy.time_units import SECOND
 
 WARM_COUNT_INTERVAL = SECOND  # between counts of the warm endpoints
 REVIEW_BATCH_SIZE = 1_000  # entries of the endpoint list reviewed in one step, which takes some milliseconds
--- a/rushroad/policy/concurrency_limit.py
+++ b/rushroad/policy/concurrency_limit.py
@@ -12,7 +12,7 @@
 from rushroad.policy.settings import RequestClass, Settings
 
 if TYPE_CHECKING:
-    from rushroad.policy.endpoints import EndpointTable
+    from rushroad.policy.endpoint_table import EndpointTable
 
 INITIAL_LIMIT = 4.0  # attempts in flight at an endpoint from all gateways together: a few per core
 INCREASE_STEP = 1.0  # attempts, from all gateways together, per as many timely responses as the limit
--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -13,12 +13,12 @@
 from rushroad.policy.counter_breaker import CounterBreaker
 from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, concurrency_counter_name
 from rushroad.policy.counter_window import ROUNDING_MARGIN
-from rushroad.policy.durations import SECOND
 from rushroad.policy.events import CounterReply, Result
 from rushroad.policy.latency import LatencyTracker
 from rushroad.policy.pending_request import COUNTER_WAIT_FRACTION, PendingRequest
 from rushroad.policy.settings import CounterSettings
 from rushroad.policy.tenants import Tenant
+from rushroad.policy.time_units import SECOND
 from rushroad.policy.timers import CounterWaitExpired, Timers
 
 SLOT_LIFETIME = 8 * SECOND  # a slot whose return was lost is free again after this time
--- a/rushroad/policy/endpoint_updates.py
+++ b/rushroad/policy/endpoint_updates.py
@@ -9,7 +9,7 @@
 from rushroad.policy.clock_skew import ClockSkew
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter
 from rushroad.policy.counter_breaker import CounterBreaker
-from rushroad.policy.endpoints import EndpointTable
+from rushroad.policy.endpoint_table import EndpointTable
 from rushroad.policy.events import EndpointUpdate, UpdateKind
 from rushroad.policy.load_shedding import LoadShedding
 from rushroad.policy.outbox import Outbox
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -26,9 +26,8 @@
 from rushroad.policy.concurrency_quota import ConcurrencyQuota
 from rushroad.policy.counter_breaker import CounterBreaker
 from rushroad.policy.counter_calls import CountedResource, CounterCalls, tenant_of_units_counter
-from rushroad.policy.durations import SECOND
+from rushroad.policy.endpoint_table import EndpointTable
 from rushroad.policy.endpoint_updates import EndpointUpdates
-from rushroad.policy.endpoints import EndpointTable
 from rushroad.policy.events import (
     AttemptOutcome,
     ClientDisconnected,
@@ -52,6 +51,7 @@
 from rushroad.policy.settings import Settings
 from rushroad.policy.slow_start import SlowStart
 from rushroad.policy.tenants import Tenants
+from rushroad.policy.time_units import SECOND
 from rushroad.policy.timers import (
     AttemptCheckDue,
     CounterWaitExpired,
--- a/rushroad/policy/load_balancer.py
+++ b/rushroad/policy/load_balancer.py
@@ -8,13 +8,13 @@
 
 from rushroad.policy.active_endpoints import ActiveEndpoints
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter, EndpointConcurrency
-from rushroad.policy.durations import SECOND
 from rushroad.policy.events import Endpoint
 from rushroad.policy.outlier_detection import OutlierDetector
 from rushroad.policy.pending_request import PendingRequest
 from rushroad.policy.retry_policy import RetryPolicy
 from rushroad.policy.settings import Idempotency, Settings
 from rushroad.policy.slow_start import SlowStart
+from rushroad.policy.time_units import SECOND
 
 if TYPE_CHECKING:
     from rushroad.policy.active_endpoints import ActiveEndpoint
--- a/rushroad/policy/load_shedding.py
+++ b/rushroad/policy/load_shedding.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from rushroad.policy.active_endpoints import ActiveEndpoint
-    from rushroad.policy.endpoints import EndpointTable
+    from rushroad.policy.endpoint_table import EndpointTable
 
 SMOOTHING = 0.2  # weight of a new request in the running mean of request values
 LOW_PRIORITY_RESERVE = 0.5  # of the full credit; requests of the lowest priority leave it to others
--- a/rushroad/policy/outlier_detection.py
+++ b/rushroad/policy/outlier_detection.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter
-from rushroad.policy.durations import SECOND
 from rushroad.policy.events import Result
 from rushroad.policy.latency import LatencyTracker
+from rushroad.policy.time_units import SECOND
 
 if TYPE_CHECKING:
     from rushroad.policy.active_endpoints import ActiveEndpoint
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -13,11 +13,11 @@
 from rushroad.policy.concurrency_quota import within_local_share
 from rushroad.policy.counter_breaker import CounterBreaker
 from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, units_counter_name
-from rushroad.policy.durations import SECOND
 from rushroad.policy.events import CounterReply, Result
 from rushroad.policy.pending_request import PendingRequest
 from rushroad.policy.settings import Settings
 from rushroad.policy.tenant_usage import SMOOTHING, window_length
+from rushroad.policy.time_units import SECOND
 from rushroad.policy.timers import CounterWaitExpired, Timers
 
 FULL_SHARE_UTILIZATION = 0.5  # of the burst, from which a tenant's requests get the full call share
--- a/rushroad/policy/rate_ceiling.py
+++ b/rushroad/policy/rate_ceiling.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from rushroad.policy.durations import SECOND
 from rushroad.policy.settings import Plan
+from rushroad.policy.time_units import SECOND
 
 
 class RateCeiling:
--- a/rushroad/policy/slow_start.py
+++ b/rushroad/policy/slow_start.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from rushroad.policy.clock_skew import ClockSkew
-from rushroad.policy.durations import SECOND
 from rushroad.policy.events import Endpoint
 from rushroad.policy.settings import SafetyLimits
+from rushroad.policy.time_units import SECOND
 
 if TYPE_CHECKING:
     from rushroad.policy.active_endpoints import ActiveEndpoint
--- a/rushroad/policy/tenant_usage.py
+++ b/rushroad/policy/tenant_usage.py
@@ -8,8 +8,8 @@
 import math
 
 from rushroad.policy.counter_window import CounterWindow
-from rushroad.policy.durations import SECOND
 from rushroad.policy.settings import Plan
+from rushroad.policy.time_units import SECOND
 
 BURSTS_PER_WINDOW = 2.0  # bursts refilled in a window; each window boundary may admit one more burst
 MAX_WINDOW = 30 * SECOND  # half of the longest time that the counter keeps a name
--- a/rushroad/policy/tenants.py
+++ b/rushroad/policy/tenants.py
@@ -10,11 +10,11 @@
 
 from rushroad.policy.concurrency_usage import ConcurrencyUsage
 from rushroad.policy.counter_window import CounterWindow
-from rushroad.policy.durations import SECOND
 from rushroad.policy.events import Request
 from rushroad.policy.rate_ceiling import RateCeiling
 from rushroad.policy.settings import Plan, Settings
 from rushroad.policy.tenant_usage import TenantUsage, window_length
+from rushroad.policy.time_units import SECOND
 
 IDLE_TIMEOUT = 30 * SECOND  # after which a tenant without open requests may be evicted
 MIN_TENANTS = 64  # table size up to which no tenant is evicted, however long idle
--- a/rushroad/policy/throughput.py
+++ b/rushroad/policy/throughput.py
@@ -4,7 +4,7 @@
 
 import math
 
-from rushroad.policy.durations import SECOND
+from rushroad.policy.time_units import SECOND
 
 TIME_CONSTANT = 5 * SECOND  # of the exponential decay; spans tens of responses
 
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoint_table.py
@@ -5,7 +5,7 @@
 from msgspec import structs
 
 from rushroad.policy.active_endpoints import REVIEW_BATCH_SIZE
-from rushroad.policy.endpoints import EndpointTable
+from rushroad.policy.endpoint_table import EndpointTable
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from rushroad.policy.subsetting import mean_replicas, replicas_of
 from tests.support.endpoint_lists import ENDPOINT_LIMITED, ready_endpoints, usable_names
