--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -10,7 +10,7 @@
 from rushroad.proxy.arrival_times import ArrivalTimes
 from rushroad.proxy.client_command import CALL_ARGUMENT_COUNTS, ClientCommand, InvalidCommandError
 from rushroad.proxy.connection_table import ConnectionTable
-from rushroad.proxy.disconnect_poll import has_disconnected
+from rushroad.proxy.disconnect_poller import has_disconnected
 from rushroad.proxy.transient_errors import is_readable
 
 MAX_ARGUMENTS = 16  # per command; more than any command of clients and their libraries has
--- a/rushroad/proxy/connection_table.py
+++ b/rushroad/proxy/connection_table.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from rushroad.proxy.client_command import CommandSchema
-from rushroad.proxy.disconnect_poll import DisconnectPoller
+from rushroad.proxy.disconnect_poller import DisconnectPoller
 from rushroad.proxy.engine import Engine
 from rushroad.proxy.loop_lag import LoopLagMonitor
 
--- a/rushroad/proxy/endpoint_pool.py
+++ b/rushroad/proxy/endpoint_pool.py
@@ -33,7 +33,7 @@
             idle_time = now - connection.idle_since
             if idle_time < SETTLE_TIME_S:
                 continue
-            if not self.upstream.idle_resets.may_reuse(idle_time, idempotent):
+            if not self.upstream.idle_reset_rates.may_reuse(idle_time, idempotent):
                 break  # the remaining ones have been idle for longer
             self._remove_idle(connection)
             if connection.is_clean():
--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -15,7 +15,7 @@
 from rushroad.proxy.endpoint_addresses import EndpointAddresses, unpack_address
 from rushroad.proxy.endpoint_pool import EndpointPool
 from rushroad.proxy.engine import Engine
-from rushroad.proxy.idle_resets import IdleResetRates
+from rushroad.proxy.idle_reset_rates import IdleResetRates
 from rushroad.proxy.in_flight import Attempt
 from rushroad.proxy.transient_errors import RESOURCE_ERRORS
 from rushroad.proxy.upstream_connection import UpstreamConnection
@@ -54,7 +54,7 @@
         self.loop = loop
         self.connection_limit = ConnectionLimit(max_connections)
         self.decoder = ResponseDecoder(settings)
-        self.idle_resets = IdleResetRates()
+        self.idle_reset_rates = IdleResetRates()
         self.pools_to_check: set[EndpointPool] = set()  # the next idle sweep removes unneeded ones
         self._engine = engine
         self._connect_timeout_s = settings.limits.connect_timeout / 1e6
--- a/rushroad/proxy/upstream_connection.py
+++ b/rushroad/proxy/upstream_connection.py
@@ -85,7 +85,7 @@
         attempt, pool = self.attempt, self.pool
         pool.consecutive_abandoned = 0
         if self.idle_time is not None:
-            pool.upstream.idle_resets.record(self.idle_time, False)
+            pool.upstream.idle_reset_rates.record(self.idle_time, False)
             self.idle_time = None
         message: list[bytes | None] | bytes | None
         try:
@@ -125,6 +125,6 @@
         if attempt is None:
             return
         if self.idle_time is not None:
-            self.pool.upstream.idle_resets.record(self.idle_time, True)
+            self.pool.upstream.idle_reset_rates.record(self.idle_time, True)
             self.idle_time = None
         self.pool.upstream.finish(attempt, Result.CONNECT_FAILED if self.has_unwritten_data else Result.RESET)
--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -254,7 +254,7 @@
     monkeypatch: pytest.MonkeyPatch, abrupt: bool
 ) -> None:
     # They would use up quota, and perhaps be forwarded. Answers make room before the next disconnect poll.
-    monkeypatch.setattr("rushroad.proxy.disconnect_poll.POLL_INTERVAL_S", 60.0)
+    monkeypatch.setattr("rushroad.proxy.disconnect_poller.POLL_INTERVAL_S", 60.0)
 
     async def scenario() -> None:
         gateway = ClientSide()
--- a/tests/proxy/test_idle_resets.py
+++ b/tests/proxy/test_idle_reset_rates.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rushroad.proxy.idle_resets import IdleResetRates
+from rushroad.proxy.idle_reset_rates import IdleResetRates
 
 
 @pytest.fixture
