--- a/rushroad/bench/load.py
+++ b/rushroad/bench/load.py
@@ -30,7 +30,7 @@
     StartPings,
     TakeLongestPing,
 )
-from rushroad.bench.pings import Pinger
+from rushroad.bench.pinger import Pinger
 from rushroad.bench.worker import serve_commands
 from rushroad.proxy.resp import encode_array
 
--- a/rushroad/bench/real/commands.py
+++ b/rushroad/bench/real/commands.py
@@ -14,7 +14,7 @@
 from rushroad.bench.real.measurements import measure_changes, measure_cost, measure_start
 from rushroad.bench.real.rows import CostRow, CounterBytesRow, DemoRow
 from rushroad.bench.real.runs import Case, add_fits, add_measured, finish, measure_costs
-from rushroad.bench.real.scene import PEAK_REQUEST_RATE, Scenario
+from rushroad.bench.real.scenario import PEAK_REQUEST_RATE, Scenario
 from rushroad.bench.report import Run
 from rushroad.bench.rows import ConditionRow, Row
 
--- a/rushroad/bench/real/measurements.py
+++ b/rushroad/bench/real/measurements.py
@@ -19,7 +19,7 @@
     TakeLongestPing,
 )
 from rushroad.bench.real.rows import ChangesRow, CostRow, StartRow
-from rushroad.bench.real.scene import RunningScenario, Scenario, run_scenario
+from rushroad.bench.real.scenario import RunningScenario, Scenario, run_scenario
 from rushroad.bench.rows import ConditionRow
 from rushroad.bench.worker import Worker
 
--- a/rushroad/bench/real/runs.py
+++ b/rushroad/bench/real/runs.py
@@ -13,7 +13,7 @@
 from rushroad.bench.options import append_results
 from rushroad.bench.real.measurements import measure_cost
 from rushroad.bench.real.rows import ChangesRow
-from rushroad.bench.real.scene import Scenario, log
+from rushroad.bench.real.scenario import Scenario, log
 from rushroad.bench.report import Run, fit_row
 from rushroad.bench.rows import ConditionRow, ErrorRow, Row
 
--- a/tests/bench/real/test_measurements.py
+++ b/tests/bench/real/test_measurements.py
@@ -4,7 +4,7 @@
 
 from rushroad.bench.fleet_size import parse_fleet_size
 from rushroad.bench.real.measurements import measure_changes, measure_cost, measure_start
-from rushroad.bench.real.scene import Scenario
+from rushroad.bench.real.scenario import Scenario
 
 
 @pytest.mark.parametrize("list_configured", [True, False])
--- a/tests/bench/test_pings.py
+++ b/tests/bench/test_pinger.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from rushroad.bench.pings import Pinger
+from rushroad.bench.pinger import Pinger
 from tests.support.loopback import LOCAL, run
 
 
