--- a/tests/bench/stand_ins/test_counter.py
+++ b/tests/bench/stand_ins/test_counter.py
@@ -9,7 +9,7 @@
     StandInStats,
 )
 from rushroad.bench.worker import Worker
-from tests.support.bench_peers import connect, read_until
+from tests.support.stand_in_clients import connect, read_until
 
 
 def test_the_counter_adds_up_calls_rejects_when_busy_and_reports_errors(
--- a/tests/bench/stand_ins/test_discovery.py
+++ b/tests/bench/stand_ins/test_discovery.py
@@ -13,7 +13,7 @@
 )
 from rushroad.bench.worker import Worker
 from rushroad.proxy.resp import encode_array
-from tests.support.bench_peers import connect, next_message, open_watch, read_until
+from tests.support.stand_in_clients import connect, next_message, open_watch, read_until
 
 
 @pytest.mark.parametrize("indent", [None, 1])
--- a/tests/bench/stand_ins/test_rate_servers.py
+++ b/tests/bench/stand_ins/test_rate_servers.py
@@ -14,7 +14,7 @@
 from rushroad.bench.stand_ins.rate_servers import LATE_AFTER_S, RateServers, rate_server_address
 from rushroad.bench.worker import Worker
 from rushroad.proxy.resp import encode_array
-from tests.support.bench_peers import connect, read_until
+from tests.support.stand_in_clients import connect, read_until
 
 
 class ManualClock:
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -8,7 +8,7 @@
 from rushroad.policy.events import LateCounterReply, Result
 from rushroad.proxy import counter_client
 from rushroad.proxy.counter_client import CounterClient
-from tests.support.counter_calls import (
+from tests.support.counter_client_scenarios import (
     LONG_TIMEOUT,
     SHORT_TIMEOUT,
     RecordedReplies,
--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -5,7 +5,7 @@
 from rushroad.policy.events import Result
 from rushroad.proxy import counter_client, counter_connection
 from rushroad.proxy.counter_client import CounterClient
-from tests.support.counter_calls import LONG_TIMEOUT, RecordedReplies, run_with_counter_client
+from tests.support.counter_client_scenarios import LONG_TIMEOUT, RecordedReplies, run_with_counter_client
 from tests.support.loopback import Peer
 
 
