--- a/rushroad/bench/simulated/gateway.py
+++ b/rushroad/bench/simulated/gateway.py
@@ -12,7 +12,7 @@
 from rushroad.bench.simulated.simulation import Metric, Simulation
 from rushroad.policy.actions import Action, CancelAttempt, CounterAdd, Fail, Reject, SetTimer, StartAttempt
 from rushroad.policy.events import (
-    AttemptOutcome,
+    AttemptFinished,
     CounterReply,
     Endpoint,
     EndpointState,
@@ -175,4 +175,4 @@
             self._complete_request(request_id, Metric.SERVED)
         final = request_id not in self.pending
         elapsed = self._simulation.now - attempt.sent_at
-        self.handle(AttemptOutcome(request_id, number, attempt.endpoint, result, elapsed, final))
+        self.handle(AttemptFinished(request_id, number, attempt.endpoint, result, elapsed, final))
--- a/rushroad/policy/outcome_recorder.py
+++ b/rushroad/policy/attempt_result_recorder.py
@@ -1,10 +1,10 @@
-"""Passes the outcome of an attempt to the parts of the policy that use it. Times are in microseconds."""
+"""Passes the results of attempts to the parts of the policy that use them. Times are in microseconds."""
 
 from __future__ import annotations
 
 from rushroad.policy.active_endpoints import ActiveEndpoint, ActiveEndpoints
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter
-from rushroad.policy.events import AttemptOutcome, Result
+from rushroad.policy.events import AttemptFinished, Result
 from rushroad.policy.latency import LatencyTracker
 from rushroad.policy.load_balancer import LoadBalancer
 from rushroad.policy.load_shedding import LoadShedding
@@ -13,8 +13,8 @@
 from rushroad.policy.slow_start import SlowStart
 
 
-class OutcomeRecorder:
-    """Updates limits, load estimates, latencies and outlier detection from outcomes."""
+class AttemptResultRecorder:
+    """Updates limits, load estimates, latencies and outlier detection from the results of attempts."""
 
     def __init__(
         self,
@@ -35,41 +35,41 @@
         self._slow_start = slow_start
 
     def record(
-        self, endpoint: ActiveEndpoint, outcome: AttemptOutcome, pending: PendingRequest | None, now: int
+        self, endpoint: ActiveEndpoint, event: AttemptFinished, pending: PendingRequest | None, now: int
     ) -> None:
-        """Record an outcome; `pending` is None if the request already had its final answer."""
-        endpoint.concurrency.in_flight.pop((outcome.request_id, outcome.attempt), None)
+        """Record the result of an attempt; `pending` is None if the request already had its final answer."""
+        endpoint.concurrency.in_flight.pop((event.request_id, event.attempt), None)
         request_class = pending.request_class if pending is not None else None
         is_short = self._load_shedding.is_capacity_short
-        self._limiter.record(endpoint.concurrency, outcome, request_class, is_short, now)
-        if outcome.load_report:
-            self._load_balancer.record_load_report(endpoint, outcome.load_report, now)
-        self._outliers.record_response(endpoint, outcome.result, now)
+        self._limiter.record(endpoint.concurrency, event, request_class, is_short, now)
+        if event.load_report:
+            self._load_balancer.record_load_report(endpoint, event.load_report, now)
+        self._outliers.record_response(endpoint, event.result, now)
         if pending is not None:
-            self._record_latency(endpoint, outcome, pending.request.class_index, now)
-        self._record_health(endpoint, outcome, now)
+            self._record_latency(endpoint, event, pending.request.class_index, now)
+        self._record_health(endpoint, event, now)
 
     def _record_latency(
-        self, endpoint: ActiveEndpoint, outcome: AttemptOutcome, class_index: int, now: int
+        self, endpoint: ActiveEndpoint, event: AttemptFinished, class_index: int, now: int
     ) -> None:
-        relative = self._latency.relative(outcome, class_index)
-        is_success = outcome.result is Result.OK
+        relative = self._latency.relative(event, class_index)
+        is_success = event.result is Result.OK
         if relative is not None:
             endpoint.latency.record(relative)
             endpoint.endpoint_class.latency.record(relative)
             if is_success and not self._slow_start.is_warming_up(endpoint.entry, now):
                 endpoint.endpoint_class.throughput.record_response(now)
         if is_success:
-            self._latency.record_response(outcome.elapsed, class_index)
+            self._latency.record_response(event.elapsed, class_index)
 
-    def _record_health(self, endpoint: ActiveEndpoint, outcome: AttemptOutcome, now: int) -> None:
-        result = outcome.result
+    def _record_health(self, endpoint: ActiveEndpoint, event: AttemptFinished, now: int) -> None:
+        result = event.result
         if result is Result.OK:
             self._outliers.record_success(endpoint)
         elif result in (Result.ERROR, Result.RESET, Result.CONNECT_FAILED):
             self._outliers.record_error(endpoint, result, now)
         elif result is Result.TIMEOUT:
-            self.eject_if_silent(endpoint, now - outcome.elapsed, now)
+            self.eject_if_silent(endpoint, now - event.elapsed, now)
         elif result is Result.OVERLOADED:
             self._load_balancer.record_overload(endpoint, now)
 
--- a/rushroad/policy/concurrency_limit.py
+++ b/rushroad/policy/concurrency_limit.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, TypeAlias
 
-from rushroad.policy.events import AttemptOutcome, Result
+from rushroad.policy.events import AttemptFinished, Result
 from rushroad.policy.settings import RequestClass, Settings
 
 if TYPE_CHECKING:
@@ -98,24 +98,24 @@
     def record(
         self,
         concurrency: EndpointConcurrency,
-        outcome: AttemptOutcome,
+        event: AttemptFinished,
         request_class: RequestClass | None,
         is_capacity_short: bool,
         now: int,
     ) -> None:
-        """Adapt the limit to an attempt's outcome; `request_class` is None if the request is already over."""
-        started_at, limit = now - outcome.elapsed, concurrency.limit
+        """Adapt the limit to an attempt's result; `request_class` is None if the request is already over."""
+        started_at, limit = now - event.elapsed, concurrency.limit
         # A limit is raised only if it is reached; a pooled limit is also lowered only if it is reached.
         pooled = self.pooled is not None
         is_reached = is_capacity_short if pooled else len(concurrency.in_flight) + 1 >= limit.attempts / 2
-        is_late = outcome.result is Result.OVERLOADED
-        if outcome.result in (Result.TIMEOUT, Result.CANCELLED):
+        is_late = event.result is Result.OVERLOADED
+        if event.result in (Result.TIMEOUT, Result.CANCELLED):
             concurrency.record_abandoned(started_at, self.abandoned_since(now))
             is_late = True
-        elif outcome.result is Result.OK:
+        elif event.result is Result.OK:
             concurrency.forget_abandoned_up_to(started_at)
             objective = request_class.latency_objective if request_class is not None else None
-            is_late = objective is not None and outcome.elapsed > LATE_RESPONSE_FRACTION * objective
+            is_late = objective is not None and event.elapsed > LATE_RESPONSE_FRACTION * objective
             if not is_late and is_reached:
                 limit.attempts += INCREASE_STEP / self.replicas / max(1.0, limit.attempts)
         if is_late and started_at >= limit.decreased_at and (is_reached or not pooled):
--- a/rushroad/policy/events.py
+++ b/rushroad/policy/events.py
@@ -61,7 +61,7 @@
     is_retry: bool = False  # marked as a retry by the client
 
 
-class AttemptOutcome(msgspec.Struct, frozen=True, gc=False):
+class AttemptFinished(msgspec.Struct, frozen=True, gc=False):
     """The end of an attempt; exactly one follows each StartAttempt."""
 
     request_id: int
@@ -69,7 +69,7 @@
     endpoint: str
     result: Result
     elapsed: int
-    final: bool  # the request is over, because of this outcome or already before it
+    final: bool  # the request is over, because of this attempt or already before it
     used_percent: int | None = None  # the tenant's use across all gateways, if endpoints meter it
     actual_units: float | None = None
     load_report: tuple[float, ...] = ()  # in the order of Settings.load_report_fields
@@ -157,7 +157,7 @@
 
 Event: TypeAlias = (
     Request
-    | AttemptOutcome
+    | AttemptFinished
     | ResponseStarted
     | CounterReply
     | LateCounterReply
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -7,7 +7,7 @@
          limit.
 attempt  `load_balancer` chooses among the `active_endpoints` that `outlier_detection`, `slow_start` and
          `concurrency_limit` permit; `retry_policy` sets the timeout.
-outcome  `latency`, `throughput` and these components update their state; `retry_policy` decides on a retry.
+result   `latency`, `throughput` and these components update their state; `retry_policy` decides on a retry.
 answer   Each request gets one final answer, which is a rejection only if the client may safely retry.
 
 All timestamps and durations are whole microseconds.
@@ -20,6 +20,7 @@
 from rushroad.policy.actions import Action, CancelAttempt, Fail, Reject, StartAttempt, WatchEndpoints
 from rushroad.policy.active_endpoints import ActiveEndpoint, ActiveEndpoints
 from rushroad.policy.admission import Admission
+from rushroad.policy.attempt_result_recorder import AttemptResultRecorder
 from rushroad.policy.client_retries import ClientRetryDetector
 from rushroad.policy.clock_skew import ClockSkew
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter
@@ -29,7 +30,7 @@
 from rushroad.policy.endpoint_table import EndpointTable
 from rushroad.policy.endpoint_updates import EndpointUpdates
 from rushroad.policy.events import (
-    AttemptOutcome,
+    AttemptFinished,
     ClientDisconnected,
     CounterReply,
     EndpointUpdate,
@@ -43,7 +44,6 @@
 from rushroad.policy.load_balancer import LoadBalancer
 from rushroad.policy.load_shedding import LoadShedding
 from rushroad.policy.outbox import Outbox
-from rushroad.policy.outcome_recorder import OutcomeRecorder
 from rushroad.policy.outlier_detection import OutlierDetector
 from rushroad.policy.pending_request import InFlightAttempt, PendingRequest, PossibleExecution
 from rushroad.policy.quota import Quota
@@ -115,7 +115,7 @@
             self.retry_policy,
             self._random,
         )
-        self.outcome_recorder = OutcomeRecorder(
+        self.attempt_result_recorder = AttemptResultRecorder(
             self.endpoints,
             self.limiter,
             self.load_shedding,
@@ -145,8 +145,8 @@
         match event:
             case Request():
                 self._on_request(event)
-            case AttemptOutcome():
-                self._on_outcome(event)
+            case AttemptFinished():
+                self._on_attempt_finished(event)
             case CounterReply():
                 self._on_counter_reply(event)
             case LateCounterReply():
@@ -273,39 +273,39 @@
         pending.in_flight[number] = InFlightAttempt(endpoint, now)
         pending.attempt_count += 1
 
-    # --- outcomes -----------------------------------------------------------------------------------------
+    # --- finished attempts --------------------------------------------------------------------------------
 
-    def _on_outcome(self, outcome: AttemptOutcome) -> None:
-        endpoint = self.endpoints.get(outcome.endpoint)
-        pending = self.pending_requests.get(outcome.request_id)
+    def _on_attempt_finished(self, event: AttemptFinished) -> None:
+        endpoint = self.endpoints.get(event.endpoint)
+        pending = self.pending_requests.get(event.request_id)
         self.load_shedding.attempt_ended(self._now)
-        if outcome.final or pending is None:
-            self.concurrency_quota.release(outcome.request_id)
+        if event.final or pending is None:
+            self.concurrency_quota.release(event.request_id)
         if endpoint is not None:
-            self.outcome_recorder.record(endpoint, outcome, pending, self._now)
+            self.attempt_result_recorder.record(endpoint, event, pending, self._now)
         if pending is None:
             return
-        attempt = pending.in_flight.pop(outcome.attempt, None)
-        if outcome.final or not pending.in_flight:  # otherwise a hedged attempt is in flight
+        attempt = pending.in_flight.pop(event.attempt, None)
+        if event.final or not pending.in_flight:  # otherwise a hedged attempt is in flight
             pending.tenant.concurrency.request_closed()
-        if outcome.final:
-            self._complete(pending, outcome)
+        if event.final:
+            self._complete(pending, event)
             return
-        if attempt is not None and not outcome.result.proven_not_executed:
+        if attempt is not None and not event.result.proven_not_executed:
             execution = PossibleExecution(attempt.endpoint.entry, attempt.started_at)
             pending.possible_executions.append(execution)
         if pending.in_flight:
             return
-        if self.retry_policy.acquire_retry(pending, outcome.result):
-            self._start_next_attempt(pending, outcome.endpoint)
+        if self.retry_policy.acquire_retry(pending, event.result):
+            self._start_next_attempt(pending, event.endpoint)
         else:
             self._reject_or_fail(pending)
 
-    def _complete(self, pending: PendingRequest, outcome: AttemptOutcome) -> None:
-        """Remove a request that is over, because of this outcome or already before it."""
-        if outcome.result is Result.OK and self._settings.settles_units and outcome.actual_units is not None:
-            self.quota.settle(pending, outcome.actual_units)
-        del self.pending_requests[outcome.request_id]
+    def _complete(self, pending: PendingRequest, event: AttemptFinished) -> None:
+        """Remove a request that is over, because of this attempt or already before it."""
+        if event.result is Result.OK and self._settings.settles_units and event.actual_units is not None:
+            self.quota.settle(pending, event.actual_units)
+        del self.pending_requests[event.request_id]
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         """Remove a request. Attempts in flight continue; units of a request never forwarded are returned."""
@@ -353,7 +353,7 @@
             return
         if not self.retry_policy.has_budget or self.limiter.pooled is not None:
             return
-        if not self.outcome_recorder.eject_if_silent(attempt.endpoint, attempt.started_at, self._now):
+        if not self.attempt_result_recorder.eject_if_silent(attempt.endpoint, attempt.started_at, self._now):
             return
         if not self.retry_policy.may_hedge(pending):
             self._outbox.add(CancelAttempt(request_id, attempt_number))
--- a/rushroad/policy/latency.py
+++ b/rushroad/policy/latency.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rushroad.policy.events import AttemptOutcome, Result
+from rushroad.policy.events import AttemptFinished, Result
 from rushroad.policy.settings import Settings
 
 SMOOTHING = 0.03  # weight of a new response time; work varies as much as its mean, so about 30 must count
@@ -40,15 +40,15 @@
         """Return the highest typical response time of all classes."""
         return max(self._typical)
 
-    def relative(self, outcome: AttemptOutcome, class_index: int) -> float | None:
+    def relative(self, event: AttemptFinished, class_index: int) -> float | None:
         """Return an attempt's time relative to the typical one; None if the result shows no latency.
 
         An attempt that timed out or was cancelled would have taken longer, so its elapsed time counts.
         """
-        typical = self._typical[class_index] or float(outcome.elapsed)
-        if not typical or outcome.result not in (Result.OK, Result.TIMEOUT, Result.CANCELLED):
+        typical = self._typical[class_index] or float(event.elapsed)
+        if not typical or event.result not in (Result.OK, Result.TIMEOUT, Result.CANCELLED):
             return None
-        return outcome.elapsed / typical
+        return event.elapsed / typical
 
     def record_response(self, elapsed: int, class_index: int) -> None:
         """Add the response time of a successful attempt."""
--- a/rushroad/policy/pending_request.py
+++ b/rushroad/policy/pending_request.py
@@ -15,7 +15,7 @@
 
 
 class InFlightAttempt:
-    """An attempt that has no outcome yet."""
+    """An attempt that has not finished."""
 
     __slots__ = ("endpoint", "started_at")
 
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -23,7 +23,7 @@
     WatchEndpoints,
 )
 from rushroad.policy.events import (
-    AttemptOutcome,
+    AttemptFinished,
     ClientDisconnected,
     EndpointUpdate,
     Event,
@@ -127,7 +127,7 @@
         load_report: tuple[float, ...] = (),
         actual_units: float | None = None,
     ) -> None:
-        """Report the outcome of an attempt to the policy.
+        """Report the end of an attempt to the policy.
 
         The first successful response of a request is passed to the client, and its actual units are charged.
         """
@@ -146,7 +146,7 @@
         units = actual_units if first_response else None
         ids = (attempt.request_id, attempt.number, attempt.endpoint)
         self.post(
-            AttemptOutcome(*ids, result, elapsed_us, final, actual_units=units, load_report=load_report)
+            AttemptFinished(*ids, result, elapsed_us, final, actual_units=units, load_report=load_report)
         )
 
     def answer_all(self) -> None:
@@ -184,13 +184,13 @@
             actions = []
         for action in actions:
             self._execute(action)
-        if isinstance(event, ClientDisconnected) or (isinstance(event, AttemptOutcome) and event.final):
+        if isinstance(event, ClientDisconnected) or (isinstance(event, AttemptFinished) and event.final):
             self._requests.pop(event.request_id, None)
 
     def _fail_request_of(self, event: Event) -> None:
         if isinstance(event, Request):
             self._fail(event.id)
-        elif isinstance(event, AttemptOutcome):
+        elif isinstance(event, AttemptFinished):
             self._fail(event.request_id)
 
     # --- actions ------------------------------------------------------------------------------------------
@@ -230,7 +230,7 @@
         # The event loop reports a disconnect at least one iteration late, and not while reading is paused.
         if request.finished or request.call.poll_disconnect() or number >= self._settings.limits.max_attempts:
             ids = (action.request_id, number, action.endpoint)
-            self.post(AttemptOutcome(*ids, Result.NOT_FORWARDED, 0, request.finished))
+            self.post(AttemptFinished(*ids, Result.NOT_FORWARDED, 0, request.finished))
             return
         now_us = self.clock.now_us()
         time_remaining_us = max(0, request.expires_at_us - now_us)
--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -204,7 +204,7 @@
         load_report: tuple[float, ...] = (),
         actual_units: float | None = None,
     ) -> None:
-        """Report an attempt's outcome to the engine; further outcomes of the same attempt are dropped."""
+        """Report the end of an attempt to the engine; later calls for the same attempt are ignored."""
         in_flight = self._in_flight.pop(attempt, None)
         if in_flight is not None:
             in_flight.timer.cancel()
--- a/rushroad/simulator/event_records.py
+++ b/rushroad/simulator/event_records.py
@@ -12,7 +12,7 @@
 from typing import TypeAlias
 
 from rushroad.policy.events import (
-    AttemptOutcome,
+    AttemptFinished,
     ClientDisconnected,
     CounterReply,
     Endpoint,
@@ -193,7 +193,7 @@
     ) = reader.read_fields(_COMPLETED_LAYOUT)
     return InstanceEvent(
         instance,
-        AttemptOutcome(
+        AttemptFinished(
             request_id,
             attempt,
             endpoint_name(address),
--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -10,7 +10,7 @@
 
 from rushroad.policy.actions import Action, CounterAdd, SetTimer, StartAttempt
 from rushroad.policy.events import (
-    AttemptOutcome,
+    AttemptFinished,
     ClientDisconnected,
     CounterReply,
     Event,
@@ -34,13 +34,13 @@
 
 
 def retry_after_pause(event: Event) -> Iterator[Action]:
-    """A counter addition, a first attempt, a pause after its outcome, a further attempt."""
+    """A counter addition, a first attempt, a pause after its end, a further attempt."""
     match event:
         case Request():
             yield CounterAdd(event.id, 1.0, 1_000)
         case CounterReply():
             yield StartAttempt(event.name, "s-1", LONG_TIMEOUT_US)
-        case AttemptOutcome(final=False):
+        case AttemptFinished(final=False):
             yield SetTimer(0, event.request_id)
         case TimerFired():
             yield StartAttempt(event.token, "s-1", LONG_TIMEOUT_US)
@@ -170,7 +170,7 @@
 @pytest.mark.parametrize("abrupt", [True, False])
 @pytest.mark.parametrize(
     ("closes_at", "requests"),
-    [(Request, 3), (CounterReply, 1), (CounterReply, 200), (AttemptOutcome, 1), (TimerFired, 1)],
+    [(Request, 3), (CounterReply, 1), (CounterReply, 200), (AttemptFinished, 1), (TimerFired, 1)],
 )
 def test_no_attempt_starts_after_its_client_closed(
     play_gateway: PlayGateway, closes_at: type[Event], requests: int, abrupt: bool
@@ -193,7 +193,7 @@
             if closes_at is CounterReply:
                 closing.append(gateway.client)
             gateway.counter.reply_all()
-            if closes_at in (AttemptOutcome, TimerFired):
+            if closes_at in (AttemptFinished, TimerFired):
                 writer, _ = await gateway.endpoint.hear()
                 closing.append(gateway.client)
                 writer.write(b"-ERR failed\r\n")
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -31,7 +31,7 @@
         for tracked in list(driver.requests.values()):
             for attempt in sorted(tracked.in_flight):
                 if tracked.attempts[attempt].endpoint != unresponsive:
-                    driver.outcome(tracked.request.id, Result.OK, attempt)
+                    driver.finish_attempt(tracked.request.id, Result.OK, attempt)
     attempts = [a.endpoint for a in driver.actions if isinstance(a, StartAttempt)]
     assert attempts.count(unresponsive) < 15 < 150 < len(attempts)
 
--- a/tests/policy/test_concurrency_quota.py
+++ b/tests/policy/test_concurrency_quota.py
@@ -34,7 +34,7 @@
     assert action_names(driver.request(entry_points=8)) == ["CounterAdd"]
     # Fixed shares of one slot would have rejected it.
     assert action_names(driver.counter_reply(2.0)) == ["StartAttempt"]
-    driver.outcome(1)
+    driver.finish_attempt(1)
     assert [amount for _, amount in counter_amounts(driver)] == [1.0, 1.0, -1.0]
     assert len({name for name, _ in counter_amounts(driver)}) == 1
 
@@ -59,7 +59,7 @@
     driver.request()
     driver.counter_reply(1.0)
     assert driver.disconnect(2) == []
-    assert action_names(driver.outcome(2)) == ["CounterAdd"]
+    assert action_names(driver.finish_attempt(2)) == ["CounterAdd"]
     assert sum(amount for _, amount in counter_amounts(driver)) == 0.0
 
 
@@ -69,7 +69,7 @@
         driver.request(class_index=NOT_IDEMPOTENT)
         driver.counter_reply(1.0)
         while driver.requests[1].in_flight:
-            driver.outcome(1, result)
+            driver.finish_attempt(1, result)
         assert driver.requests[1].is_answered
         assert [amount for _, amount in counter_amounts(driver)] == [1.0, -1.0], result
 
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -25,14 +25,14 @@
     driver = Driver()
     attempt = driver.admit()
     driver.disconnect(attempt.request_id)
-    assert action_names(driver.outcome(attempt.request_id, Result.ERROR)) == []
+    assert action_names(driver.finish_attempt(attempt.request_id, Result.ERROR)) == []
 
 
 def test_finished_requests_leave_no_state() -> None:
     driver = Driver()
     for n in range(300):
         attempt = driver.admit(tenant=n)
-        driver.outcome(attempt.request_id)
+        driver.finish_attempt(attempt.request_id)
     driver.wait(5 * SECOND)
     assert not driver.gateway.pending_requests
     assert not len(driver.gateway.counter_calls)
@@ -56,11 +56,11 @@
     # the tenant exceed that limit.
     driver = Driver()
     first, second = driver.admit(), driver.admit()
-    driver.outcome(first.request_id, Result.ERROR)
+    driver.finish_attempt(first.request_id, Result.ERROR)
     assert driver.open_requests(TENANT) == 2
-    driver.outcome(first.request_id)
+    driver.finish_attempt(first.request_id)
     assert driver.open_requests(TENANT) == 1
-    driver.outcome(second.request_id)
+    driver.finish_attempt(second.request_id)
     assert driver.open_requests(TENANT) == 0
 
 
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -42,7 +42,10 @@
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(
-            ["request"] * 4 + ["outcome"] * 3 + ["counter_reply"] * 3 + ["wait", "disconnect", "update"]
+            ["request"] * 4
+            + ["attempt_finished"] * 3
+            + ["counter_reply"] * 3
+            + ["wait", "disconnect", "update"]
         ),
         st.integers(0, 1 << 16),
     ),
@@ -72,9 +75,9 @@
                 entry_points=3,
                 time_remaining=None if number % 7 else number % 50 * MS,
             )
-        elif step == "outcome" and in_flight:
+        elif step == "attempt_finished" and in_flight:
             request_id, attempt = in_flight[number % len(in_flight)]
-            driver.outcome(request_id, RESULTS[number // 64 % len(RESULTS)], attempt)
+            driver.finish_attempt(request_id, RESULTS[number // 64 % len(RESULTS)], attempt)
         elif step == "counter_reply" and driver.counter_calls:
             result = Result.OK if number % 3 else RESULTS[number // 3 % len(RESULTS)]
             driver.counter_reply(float(number % 12), result)
@@ -108,7 +111,7 @@
         driver = Driver(seed=5)
         for n in range(50):
             attempt = driver.admit(tenant=n)
-            driver.outcome(attempt.request_id, Result.ERROR if n % 5 == 0 else Result.OK)
+            driver.finish_attempt(attempt.request_id, Result.ERROR if n % 5 == 0 else Result.OK)
         return list(driver.actions)
 
     assert run() == run()
--- a/tests/policy/test_latency.py
+++ b/tests/policy/test_latency.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from rushroad.policy.events import AttemptOutcome, Result
+from rushroad.policy.events import AttemptFinished, Result
 from rushroad.policy.latency import LatencyTracker, RelativeLatency
 from tests.support.gateway_driver import MS, SETTINGS
 
 
-def outcome(result: Result, elapsed: int) -> AttemptOutcome:
-    return AttemptOutcome(1, 0, "10.0.0.1:80", result, elapsed, final=True)
+def attempt_finished(result: Result, elapsed: int) -> AttemptFinished:
+    return AttemptFinished(1, 0, "10.0.0.1:80", result, elapsed, final=True)
 
 
 def test_first_response_sets_the_typical_latency_of_its_class_only() -> None:
@@ -29,7 +29,7 @@
 def test_time_of_an_attempt_is_relative_to_its_request_class(result: Result) -> None:
     latency = LatencyTracker(SETTINGS)
     latency.record_response(50 * MS, 0)
-    assert latency.relative(outcome(result, 150 * MS), 0) == pytest.approx(3.0)
+    assert latency.relative(attempt_finished(result, 150 * MS), 0) == pytest.approx(3.0)
 
 
 @pytest.mark.parametrize(
@@ -38,7 +38,7 @@
 def test_attempt_without_a_measured_execution_has_no_relative_latency(result: Result) -> None:
     latency = LatencyTracker(SETTINGS)
     latency.record_response(50 * MS, 0)
-    assert latency.relative(outcome(result, 150 * MS), 0) is None
+    assert latency.relative(attempt_finished(result, 150 * MS), 0) is None
 
 
 def test_first_samples_of_an_endpoint_have_equal_weight() -> None:
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -25,9 +25,9 @@
     for n in range(40):
         attempt = driver.admit(tenant=n)
         driver.now += 20 * MS
-        driver.outcome(attempt.request_id, Result.ERROR if attempt.endpoint == failing else Result.OK)
+        driver.finish_attempt(attempt.request_id, Result.ERROR if attempt.endpoint == failing else Result.OK)
         if not driver.requests[attempt.request_id].is_answered:
-            driver.outcome(attempt.request_id)
+            driver.finish_attempt(attempt.request_id)
     last_attempts = [a for a in driver.actions if isinstance(a, StartAttempt)][-20:]
     assert sum(attempt.endpoint == failing for attempt in last_attempts) <= 2
 
@@ -37,7 +37,7 @@
     unanswered = driver.admit(tenant=50)
     actions = driver.wait(600 * MS)
     assert CancelAttempt(unanswered.request_id, 0) in actions
-    driver.outcome(unanswered.request_id, Result.CANCELLED)
+    driver.finish_attempt(unanswered.request_id, Result.CANCELLED)
     assert next_attempt_after(unanswered, driver).endpoint != unanswered.endpoint
 
 
@@ -47,10 +47,10 @@
     for n in range(60):
         attempt = driver.admit(tenant=1000 + n)
         driver.now += 100 * MS
-        driver.outcome(attempt.request_id)
+        driver.finish_attempt(attempt.request_id)
     slow = driver.admit(tenant=50)
     assert CancelAttempt(slow.request_id, 0) not in driver.wait(900 * MS)
-    driver.outcome(slow.request_id)
+    driver.finish_attempt(slow.request_id)
     endpoint = driver.gateway.endpoints.get(slow.endpoint)
     assert endpoint is not None
     assert not endpoint.outlier.ejected
@@ -61,7 +61,7 @@
     slow = driver.admit(tenant=50)
     driver.wait(300 * MS)
     quick = driver.admit(tenant=51)
-    driver.outcome(quick.request_id)
+    driver.finish_attempt(quick.request_id)
     assert CancelAttempt(slow.request_id, 0) not in driver.wait(400 * MS)
 
 
@@ -74,7 +74,7 @@
         for tracked in list(driver.requests.values()):
             while tracked.in_flight and not tracked.is_answered:
                 is_up = tracked.attempts[max(tracked.attempts)].endpoint == healthy
-                driver.outcome(tracked.request.id, Result.OK if is_up else Result.CONNECT_FAILED)
+                driver.finish_attempt(tracked.request.id, Result.OK if is_up else Result.CONNECT_FAILED)
         driver.now += 5 * MS
     attempts = [a.endpoint for a in driver.actions if isinstance(a, StartAttempt)]
     assert len(attempts) - attempts.count(healthy) <= 9
@@ -90,7 +90,7 @@
             if not tracked.in_flight:
                 break
             is_up = tracked.attempts[max(tracked.attempts)].endpoint == healthy
-            driver.outcome(tracked.request.id, Result.OK if is_up else Result.CONNECT_FAILED)
+            driver.finish_attempt(tracked.request.id, Result.OK if is_up else Result.CONNECT_FAILED)
         driver.wait(20 * MS)
     attempts = [a.endpoint for a in driver.actions if isinstance(a, StartAttempt)]
     assert attempts[-20:].count(healthy) >= 18
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -8,7 +8,7 @@
 
 from rushroad.policy.actions import CounterAdd, Reject, StartAttempt
 from rushroad.policy.events import (
-    AttemptOutcome,
+    AttemptFinished,
     EndpointState,
     Result,
 )
@@ -151,7 +151,7 @@
     tracked = driver.requests[attempt.request_id]
     tracked.in_flight.clear()
     tracked.is_answered = True
-    event = AttemptOutcome(
+    event = AttemptFinished(
         attempt.request_id, 0, attempt.endpoint, Result.OK, 50 * MS, True, actual_units=3.0
     )
     assert driver.handle(event) == []  # no call per response, which would overload the counter
@@ -322,8 +322,8 @@
     driver.request(entry_points=2, class_index=NOT_IDEMPOTENT)
     # Others add 7 units in a window that has just begun.
     totals.add(structs.replace(driver.counter_calls[0], amount=7.0), driver.now)
-    outcome = action_names(driver.counter_reply(totals.add(driver.counter_calls[0], driver.now)))
-    assert ("Reject" in outcome) is has_unreported
+    actions = action_names(driver.counter_reply(totals.add(driver.counter_calls[0], driver.now)))
+    assert ("Reject" in actions) is has_unreported
 
 
 def test_overloaded_counter_is_called_mostly_for_tenants_near_their_burst() -> None:
@@ -353,7 +353,7 @@
         )
         attempt = driver.admit()
         driver.update_endpoints(ready_endpoint(1, state=EndpointState.DRAINING))
-        driver.outcome(attempt.request_id, Result.CONNECT_FAILED)
+        driver.finish_attempt(attempt.request_id, Result.CONNECT_FAILED)
         driver.request()
         driver.update_endpoints(ready_endpoint(1))
         attempt = driver.admit(tenant=3)
@@ -361,7 +361,9 @@
         tracked.is_answered = True
         tracked.in_flight.clear()
         driver.handle(
-            AttemptOutcome(attempt.request_id, 0, attempt.endpoint, Result.OK, 5 * MS, True, actual_units=3.0)
+            AttemptFinished(
+                attempt.request_id, 0, attempt.endpoint, Result.OK, 5 * MS, True, actual_units=3.0
+            )
         )
         assert "CounterAdd" not in action_names(driver.actions)
 
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -35,7 +35,7 @@
 def test_non_idempotent_request_that_may_have_been_executed_fails_without_a_retry(result: Result) -> None:
     driver = Driver()
     attempt = driver.admit(class_index=NOT_IDEMPOTENT)
-    assert action_names(driver.outcome(attempt.request_id, result)) == ["Fail"]
+    assert action_names(driver.finish_attempt(attempt.request_id, result)) == ["Fail"]
 
 
 @pytest.mark.parametrize("result", [Result.OVERLOADED, Result.CONNECT_FAILED])
@@ -43,14 +43,14 @@
 def test_request_proven_not_executed_is_retried_at_another_endpoint(result: Result, class_index: int) -> None:
     driver = Driver()
     attempt = driver.admit(class_index=class_index)
-    assert action_names(driver.outcome(attempt.request_id, result)) == ["StartAttempt"]
+    assert action_names(driver.finish_attempt(attempt.request_id, result)) == ["StartAttempt"]
     assert next_attempt_after(attempt, driver).endpoint != attempt.endpoint
 
 
 def test_idempotent_request_is_retried_after_an_error() -> None:
     driver = Driver()
     attempt = driver.admit()
-    assert action_names(driver.outcome(attempt.request_id, Result.ERROR)) == ["StartAttempt"]
+    assert action_names(driver.finish_attempt(attempt.request_id, Result.ERROR)) == ["StartAttempt"]
 
 
 def test_keyed_request_is_not_retried_after_its_deduplication_window() -> None:
@@ -58,7 +58,7 @@
     driver = Driver(replace(SETTINGS, request_classes=(SETTINGS.request_classes[0], short_window)))
     attempt = driver.admit(class_index=IDEMPOTENCY_KEY)
     driver.now += 150 * MS
-    assert action_names(driver.outcome(attempt.request_id, Result.ERROR)) in (["Reject"], ["Fail"])
+    assert action_names(driver.finish_attempt(attempt.request_id, Result.ERROR)) in (["Reject"], ["Fail"])
 
 
 def test_keyed_request_is_not_retried_where_its_connection_may_outlast_the_window() -> None:
@@ -73,7 +73,7 @@
         )
         attempt = driver.admit(class_index=IDEMPOTENCY_KEY)
         driver.now += elapsed
-        assert action_names(driver.outcome(attempt.request_id, Result.ERROR)) == expected
+        assert action_names(driver.finish_attempt(attempt.request_id, Result.ERROR)) == expected
 
 
 def test_keyed_request_is_retried_only_within_its_cell() -> None:
@@ -90,7 +90,7 @@
         *(ready_endpoint(n, cell=n % 2) for n in range(1, 7)), kind=UpdateKind.CACHED_SNAPSHOT
     )
     attempt = driver.admit(class_index=0)
-    driver.outcome(attempt.request_id, Result.ERROR)
+    driver.finish_attempt(attempt.request_id, Result.ERROR)
     retry = next_attempt_after(attempt, driver)
     assert driver.endpoints[retry.endpoint].cell == driver.endpoints[attempt.endpoint].cell
 
@@ -102,7 +102,7 @@
         attempt = driver.admit(tenant=tenant)
         for _ in range(4):
             if not driver.requests[attempt.request_id].is_answered:
-                driver.outcome(attempt.request_id, Result.ERROR)
+                driver.finish_attempt(attempt.request_id, Result.ERROR)
         attempts += len(driver.requests[attempt.request_id].attempts)
     assert attempts < 60 + 10 + 60 * 0.2
 
@@ -116,8 +116,8 @@
     second = next_attempt_after(attempt, driver)
     assert (second.request_id, second.endpoint != attempt.endpoint) == (attempt.request_id, True)
     assert action_names(driver.wait(390 * MS)) == []  # the second attempt gets the remaining time
-    assert action_names(driver.outcome(attempt.request_id, Result.OK, 0)) == []
-    assert action_names(driver.outcome(attempt.request_id, Result.OK, 1)) == []
+    assert action_names(driver.finish_attempt(attempt.request_id, Result.OK, 0)) == []
+    assert action_names(driver.finish_attempt(attempt.request_id, Result.OK, 1)) == []
     assert driver.open_requests(TENANT) == 0
 
 
@@ -132,5 +132,5 @@
     driver = with_latency_history(Driver())
     attempt = driver.admit()
     assert action_names(driver.wait(600 * MS)) == ["CancelAttempt"]
-    driver.outcome(attempt.request_id, Result.CANCELLED)
+    driver.finish_attempt(attempt.request_id, Result.CANCELLED)
     assert "CancelAttempt" not in action_names(driver.wait(390 * MS))
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -46,7 +46,7 @@
             driver.update_endpoints(structs.replace(ready_endpoint(9), started_at=driver.now))
         attempt = driver.admit(tenant=n)
         driver.now += 25 * MS
-        driver.outcome(attempt.request_id)
+        driver.finish_attempt(attempt.request_id)
     attempts = [a for a in driver.actions if isinstance(a, StartAttempt)][200:]
     to_cold = sum(attempt.endpoint == cold for attempt in attempts)
     # 5 s at less than 2 x 0.5 of a warm endpoint's share of this gateway's 40 requests per second
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -187,7 +187,7 @@
     cells = {endpoint.name: endpoint.cell for endpoint in endpoints}
     for tenant in range(8):  # as many as the retry budget allows
         first = driver.admit(class_index=IDEMPOTENCY_KEY, tenant=tenant)
-        actions = driver.outcome(first.request_id, Result.ERROR)
+        actions = driver.finish_attempt(first.request_id, Result.ERROR)
         (retry,) = (action for action in actions if isinstance(action, StartAttempt))
         assert cells[retry.endpoint] == cells[first.endpoint]
         driver.finish_all()
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -24,7 +24,7 @@
     StartAttempt,
 )
 from rushroad.policy.events import (
-    AttemptOutcome,
+    AttemptFinished,
     ClientDisconnected,
     CounterReply,
     EndpointUpdate,
@@ -124,10 +124,10 @@
         assert data == call(1).replace(b",d=900,", deadline[0])
         assert await reader.readexactly(11) == b"$5\r\nvalue\r\n"
 
-    request, outcome = run_engine_scenario(start_attempt, scenario)
+    request, finished = run_engine_scenario(start_attempt, scenario)
     assert request == Request(1, 0, 0, 0xAB, 2.0, 890_000, 2, 1, False)
-    assert isinstance(outcome, AttemptOutcome)
-    assert (outcome.result, outcome.final, outcome.load_report) == (Result.OK, True, (2.0, 7.0))
+    assert isinstance(finished, AttemptFinished)
+    assert (finished.result, finished.final, finished.load_report) == (Result.OK, True, (2.0, 7.0))
 
 
 def test_error_in_the_policy_fails_its_request_and_the_next_is_served(
@@ -227,7 +227,7 @@
     done = asyncio.Event()
 
     def script(event: Event) -> Iterator[Action]:
-        if isinstance(event, AttemptOutcome):
+        if isinstance(event, AttemptFinished):
             done.set()
         yield from start_attempt(event)
 
@@ -238,7 +238,7 @@
         assert gateway.endpoint.came.empty()
 
     events = run_engine_scenario(script, scenario)
-    not_forwarded = AttemptOutcome(1, 0, "s-1", Result.NOT_FORWARDED, 0, True)
+    not_forwarded = AttemptFinished(1, 0, "s-1", Result.NOT_FORWARDED, 0, True)
     assert [type(events[0]), *events[1:]] == [Request, ClientDisconnected(1), not_forwarded]
 
 
@@ -253,7 +253,7 @@
         yield from start_attempt(event)
         if isinstance(event, TimerFired):
             yield Fail(event.token)
-        if isinstance(event, AttemptOutcome):
+        if isinstance(event, AttemptFinished):
             done.set()
 
     async def scenario(gateway: EngineHarness) -> None:
@@ -271,8 +271,8 @@
         assert (await gateway.endpoint.hear())[1] == b""  # closed without a byte written
 
     events = run_engine_scenario(script, scenario)
-    (outcome,) = [event for event in events if isinstance(event, AttemptOutcome)]
-    assert (outcome.result, outcome.final) == (Result.NOT_FORWARDED, True)
+    (finished,) = [event for event in events if isinstance(event, AttemptFinished)]
+    assert (finished.result, finished.final) == (Result.NOT_FORWARDED, True)
 
 
 def test_answer_all_answers_every_request_in_flight(run_engine_scenario: RunEngineScenario) -> None:
@@ -334,7 +334,7 @@
                 yield SetTimer(20_000, 3)
             case TimerFired(token=3):
                 yield CancelAttempt(1, 0)
-            case AttemptOutcome():
+            case AttemptFinished():
                 yield Fail(1)
                 done.set()
 
@@ -346,8 +346,8 @@
         await done.wait()
 
     events = run_engine_scenario(script, scenario)
-    assert [type(event) for event in events] == [Request, CounterReply, TimerFired, AttemptOutcome]
-    assert isinstance(events[-1], AttemptOutcome)
+    assert [type(event) for event in events] == [Request, CounterReply, TimerFired, AttemptFinished]
+    assert isinstance(events[-1], AttemptFinished)
     assert (events[-1].result, events[-1].final) == (Result.CANCELLED, False)
 
 
@@ -367,7 +367,7 @@
         writer.write(call(1))
         assert await reader.readline() == b"-ERR the id is taken\r\n"
         endpoint.write(OK)
-        while not isinstance(gateway.policy.events[-1], AttemptOutcome):
+        while not isinstance(gateway.policy.events[-1], AttemptFinished):
             await asyncio.sleep(0.001)
         writer.write(call(1))
         await gateway.endpoint.answer(OK)
--- a/tests/proxy/test_upstream_response.py
+++ b/tests/proxy/test_upstream_response.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("response", "outcome"),
+    ("response", "expected"),
     [
         (OK, (Result.OK, b"value", (2.0, 7.0))),
         (b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", (Result.OK, b"", ())),
@@ -42,12 +42,12 @@
     ],
 )
 def test_response_is_decoded_into_result_value_and_load_report(
-    response: bytes, outcome: tuple[Result, bytes, tuple[float, ...]]
+    response: bytes, expected: tuple[Result, bytes, tuple[float, ...]]
 ) -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         await peer.answer(response)
-        assert (await harness.engine.ended.get())[1:] == outcome
+        assert (await harness.engine.ended.get())[1:] == expected
 
     run_upstream_scenario(scenario)
 
--- a/tests/simulator/test_event_records.py
+++ b/tests/simulator/test_event_records.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rushroad.policy.events import (
-    AttemptOutcome,
+    AttemptFinished,
     ClientDisconnected,
     CounterReply,
     Endpoint,
@@ -65,7 +65,7 @@
         ),
         (
             struct.pack("<HIIH6sHIBHHB", 12, 3, 7, 1, ADDRESS, 408, 900, 0, 0, 0, 0),
-            InstanceEvent(3, AttemptOutcome(7, 1, NAME, Result.TIMEOUT, 900, False)),
+            InstanceEvent(3, AttemptFinished(7, 1, NAME, Result.TIMEOUT, 900, False)),
         ),
         (struct.pack("<HII", 11, 3, 7), InstanceEvent(3, ClientDisconnected(7))),
         (struct.pack("<HII", 5, 3, 77), InstanceEvent(3, TimerFired(77))),
@@ -92,7 +92,7 @@
     assert isinstance(record, InstanceEvent)
     assert record.instance == 3
     assert repr(record.event) == (
-        "AttemptOutcome(request_id=1564119492, attempt=0, endpoint='10.18.74.7:5003', "
+        "AttemptFinished(request_id=1564119492, attempt=0, endpoint='10.18.74.7:5003', "
         "result=<Result.OK: 'ok'>, elapsed=18500, final=True, used_percent=85, actual_units=3.0, "
         "load_report=(3.0, 7.0))"
     )
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -67,7 +67,7 @@
         transports = [connection.transport for pool in pools for connection in pool.connections]
         return [transport for transport in transports if transport is not None]
 
-    async def outcome(self) -> tuple[int, Result]:
+    async def attempt_finished(self) -> tuple[int, Result]:
         """Wait for an attempt to finish; returns the id of its request, and its result."""
         return (await self.engine.ended.get())[:2]
 
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -7,7 +7,7 @@
 
 from rushroad.policy.actions import Action, CancelAttempt, CounterAdd, Fail, Reject, SetTimer, StartAttempt
 from rushroad.policy.events import (
-    AttemptOutcome,
+    AttemptFinished,
     ClientDisconnected,
     CounterReply,
     Endpoint,
@@ -169,7 +169,7 @@
         actions = self.counter_reply(1.0) if self.counter_calls else self.actions
         return next(action for action in reversed(actions) if isinstance(action, StartAttempt))
 
-    def outcome(
+    def finish_attempt(
         self,
         request_id: int,
         result: Result = Result.OK,
@@ -186,7 +186,7 @@
         tracked.is_answered = tracked.is_answered or result is Result.OK
         elapsed, is_final = self.now - record.started_at, tracked.is_answered
         return self.handle(
-            AttemptOutcome(
+            AttemptFinished(
                 request_id, number, record.endpoint, result, elapsed, is_final, load_report=load_report
             )
         )
@@ -201,7 +201,7 @@
         """End all attempts in flight successfully."""
         for tracked in list(self.requests.values()):
             for attempt in sorted(tracked.in_flight):
-                self.outcome(tracked.request.id, Result.OK, attempt)
+                self.finish_attempt(tracked.request.id, Result.OK, attempt)
 
     def disconnect(self, request_id: int) -> list[Action]:
         """Disconnect the client of a request."""
@@ -219,7 +219,7 @@
             at, is_attempt, number, attempt = due
             self.now = max(self.now, at)
             if is_attempt:
-                self.outcome(number, Result.TIMEOUT, attempt)
+                self.finish_attempt(number, Result.TIMEOUT, attempt)
             else:
                 self.timers.remove((at, number))
                 self.handle(TimerFired(number))
--- a/tests/support/policy_scenarios.py
+++ b/tests/support/policy_scenarios.py
@@ -27,7 +27,7 @@
     for n in range(responses):
         attempt = driver.admit(tenant=1000 + n)
         driver.now += 20 * MS
-        driver.outcome(attempt.request_id)
+        driver.finish_attempt(attempt.request_id)
     return driver
 
 
