--- a/rushroad/bench/simulated/clients.py
+++ b/rushroad/bench/simulated/clients.py
@@ -43,12 +43,19 @@
     def _request(self, index: int) -> Request:
         """Create a request of a random tenant whose entry points include the gateway with this index."""
         random, gateways = self._simulation.random, self._size.gateways
-        entry_points = min(MAX_ENTRY_POINTS, gateways)
-        first_entry = (index - random.randrange(entry_points)) % gateways
-        tenant = first_entry + gateways * random.randrange(self._tenants_per_gateway)
+        entry_point_count = min(MAX_ENTRY_POINTS, gateways)
+        first_entry_point = (index - random.randrange(entry_point_count)) % gateways
+        tenant = first_entry_point + gateways * random.randrange(self._tenants_per_gateway)
         class_index = int(random.random() < IDEMPOTENCY_KEY_SHARE)
         units = float(random.randint(*UNITS_RANGE))
         deadline = self._simulation.settings.request_classes[class_index].deadline
         return Request(
-            next(self._request_ids), class_index, 0, tenant, units, deadline, entry_points, first_entry
+            next(self._request_ids),
+            class_index,
+            0,
+            tenant,
+            units,
+            deadline,
+            entry_point_count,
+            first_entry_point,
         )
--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -34,8 +34,8 @@
 
 
 def _has_local_slot(pending: PendingRequest) -> bool:
-    entry_points = max(1, pending.request.entry_points)
-    local_slots = -(-pending.plan.concurrency // entry_points)  # rounded up
+    entry_point_count = max(1, pending.request.entry_point_count)
+    local_slots = -(-pending.plan.concurrency // entry_point_count)  # rounded up
     return pending.tenant.concurrency.open_requests < local_slots
 
 
--- a/rushroad/policy/events.py
+++ b/rushroad/policy/events.py
@@ -56,8 +56,8 @@
     tenant: int
     units: float
     time_remaining: int  # until the client stops waiting for this request
-    entry_points: int = 1  # number of gateways that receive requests of this tenant
-    first_entry: int = 0  # index of the first of them; the others follow in order
+    entry_point_count: int = 1  # number of gateways that receive requests of this tenant
+    first_entry_point: int = 0  # index of the first of them; the others follow in order
     is_retry: bool = False  # marked as a retry by the client
 
 
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -119,7 +119,7 @@
         if now - usage.near_limit_at < NEAR_LIMIT_REFILLS * plan.burst / plan.rate * SECOND:
             weight = pending.request_class.priority_weight / self._max_weight
             reserve = (MIN_RESERVE_FRACTION + 1.0 - weight) * self._settings.max_units
-        fits = usage.fits(units, pending.request.entry_points, reserve, disregarded)
+        fits = usage.fits(units, pending.request.entry_point_count, reserve, disregarded)
         if not fits:
             usage.near_limit_at = now
         return fits
@@ -134,9 +134,9 @@
         """
         usage, units, others = pending.tenant.usage, pending.request.units, 0.0
         if self._breaker.is_open or self._counter is None:
-            others = units * (max(1, pending.request.entry_points) - 1)
+            others = units * (max(1, pending.request.entry_point_count) - 1)
         elif not self.samples_requests and not pending.counted_units:
-            others = units * usage.others_to_own_ratio(pending.request.entry_points)
+            others = units * usage.others_to_own_ratio(pending.request.entry_point_count)
         # With the estimate for many others one request may exceed the burst: it fits when nothing is used.
         if not self._fits(pending, units + others, now) or not self.is_within_hard_limits(pending):
             return Admission.REJECT_OVER_ESTIMATE
--- a/rushroad/policy/rate_ceiling.py
+++ b/rushroad/policy/rate_ceiling.py
@@ -19,11 +19,11 @@
         self.available_units = 0.0
         self._updated_at = started_at
 
-    def refill(self, plan: Plan, entry_points: int, now: int) -> None:
+    def refill(self, plan: Plan, entry_point_count: int, now: int) -> None:
         """Add the units refilled up to now."""
         self.available_units = min(
-            plan.ceiling_burst / entry_points,
-            self.available_units + plan.ceiling_rate / entry_points * (now - self._updated_at) / SECOND,
+            plan.ceiling_burst / entry_point_count,
+            self.available_units + plan.ceiling_rate / entry_point_count * (now - self._updated_at) / SECOND,
         )
         self._updated_at = now
 
--- a/rushroad/policy/tenant_usage.py
+++ b/rushroad/policy/tenant_usage.py
@@ -157,7 +157,7 @@
         self.used = min(used, self._burst)
         self._overage += used - self.used - returned
 
-    def fits(self, units: float, entry_points: int, reserve: float, disregarded: float = 0.0) -> bool:
+    def fits(self, units: float, entry_point_count: int, reserve: float, disregarded: float = 0.0) -> bool:
         """Whether the units fit beside `reserve` units and what other gateways have not reported yet.
 
         Others are assumed to have unreported units in proportion to what they admit. `disregarded` units of
@@ -165,14 +165,14 @@
         """
         margin = min(
             MAX_MARGIN_FRACTION * self._burst,
-            self.mean_unreported * self.others_to_own_ratio(entry_points) + reserve,
+            self.mean_unreported * self.others_to_own_ratio(entry_point_count) + reserve,
         )
         return self.used - disregarded + units + margin <= max(self._burst, units + margin)
 
-    def others_to_own_ratio(self, entry_points: int) -> float:
+    def others_to_own_ratio(self, entry_point_count: int) -> float:
         """Return the units that others admit for each unit admitted here.
 
         It is taken from totals; as long as these show little, every gateway is assumed to admit as much.
         """
-        others = max(0.0, self._observed_others) + PRIOR_UNITS * max(0, entry_points - 1)
+        others = max(0.0, self._observed_others) + PRIOR_UNITS * max(0, entry_point_count - 1)
         return others / (max(0.0, self._observed_own) + PRIOR_UNITS)
--- a/rushroad/policy/tenants.py
+++ b/rushroad/policy/tenants.py
@@ -57,7 +57,7 @@
         self._tenants.move_to_end(request.tenant)
         self._evict_idle(tenant, now)
         tenant.usage.advance(plan, now)
-        tenant.ceiling.refill(plan, max(1, request.entry_points), now)
+        tenant.ceiling.refill(plan, max(1, request.entry_point_count), now)
         return tenant
 
     def create(self, tenant_id: int, plan: Plan, now: int) -> Tenant:
--- a/rushroad/proxy/client_command.py
+++ b/rushroad/proxy/client_command.py
@@ -86,8 +86,8 @@
         "arrived_at_s",
         "class_index",
         "connection",
-        "entry_points",
-        "first_entry",
+        "entry_point_count",
+        "first_entry_point",
         "id",
         "is_retry",
         "plan_index",
@@ -127,10 +127,12 @@
             raise InvalidCommandError("bad id")
         self.tenant, self.id, self.arguments = tenant, arguments[2], arguments
         self.units = float(options.get(b"units", 1))
-        self.entry_points = int(options.get(b"spread", 1))
-        self.first_entry = int(options.get(b"first", 0))
+        self.entry_point_count = int(options.get(b"spread", 1))
+        self.first_entry_point = int(options.get(b"first", 0))
         self.is_retry = options.get(b"r") == b"1"
-        entries_exist = 1 <= self.entry_points <= schema.fleet_size and self.first_entry < schema.fleet_size
+        entries_exist = (
+            1 <= self.entry_point_count <= schema.fleet_size and self.first_entry_point < schema.fleet_size
+        )
         if not (0 < self.units <= schema.max_units and self.time_remaining_ms > 0 and entries_exist):
             raise InvalidCommandError("number out of range")
 
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -100,7 +100,13 @@
             (time_remaining_us + DEADLINE_GRACE_US) / 1e6, self._deadline_passed, request_id
         )
         self._requests[request_id] = InFlightRequest(call, self.clock.now_us() + time_remaining_us, timer)
-        remaining_fields = (call.units, time_remaining_us, call.entry_points, call.first_entry, call.is_retry)
+        remaining_fields = (
+            call.units,
+            time_remaining_us,
+            call.entry_point_count,
+            call.first_entry_point,
+            call.is_retry,
+        )
         self.post(Request(request_id, call.class_index, call.plan_index, call.tenant, *remaining_fields))
         return request_id
 
--- a/rushroad/proxy/in_flight.py
+++ b/rushroad/proxy/in_flight.py
@@ -17,8 +17,8 @@
     tenant: int
     units: float
     time_remaining_ms: int  # from the sending of the call until the client gives up
-    entry_points: int
-    first_entry: int
+    entry_point_count: int
+    first_entry_point: int
     is_retry: bool
 
     def poll_disconnect(self) -> bool:
--- a/rushroad/simulator/event_records.py
+++ b/rushroad/simulator/event_records.py
@@ -143,8 +143,8 @@
     (
         instance,
         request_id,
-        first_entry,
-        entry_points,
+        first_entry_point,
+        entry_point_count,
         units,
         plan_index,
         time_remaining,
@@ -161,8 +161,8 @@
             tenant,
             units,
             time_remaining,
-            int(entry_points),
-            int(first_entry),
+            int(entry_point_count),
+            int(first_entry_point),
             bool(options & CLIENT_RETRY_FLAG),
         ),
     )
--- a/tests/policy/test_concurrency_quota.py
+++ b/tests/policy/test_concurrency_quota.py
@@ -29,9 +29,9 @@
 def test_open_request_holds_a_slot_on_the_counter_and_returns_it() -> None:
     # Fixed shares of the limit, rounded up at each gateway, admit at least one request per gateway.
     driver = Driver(CONCURRENCY_LIMITED)
-    assert action_names(driver.request(entry_points=8)) == ["CounterAdd"]
+    assert action_names(driver.request(entry_point_count=8)) == ["CounterAdd"]
     assert action_names(driver.counter_reply(1.0)) == ["StartAttempt"]
-    assert action_names(driver.request(entry_points=8)) == ["CounterAdd"]
+    assert action_names(driver.request(entry_point_count=8)) == ["CounterAdd"]
     # Fixed shares of one slot would have rejected it.
     assert action_names(driver.counter_reply(2.0)) == ["StartAttempt"]
     driver.finish_attempt(1)
@@ -78,8 +78,8 @@
 def test_local_share_of_the_limit_applies_without_a_total(result: Result, returned_slots: int) -> None:
     # The amount of a call that timed out may have been added; that of a rejected one never was.
     driver = Driver(CONCURRENCY_LIMITED)
-    driver.request(entry_points=2)
-    driver.request(entry_points=2)
+    driver.request(entry_point_count=2)
+    driver.request(entry_point_count=2)
     assert action_names(driver.counter_reply(result=result)) == ["StartAttempt"]
     assert action_names(driver.counter_reply(result=result))[-1] == "Reject"
     driver.finish_all()
@@ -90,11 +90,11 @@
     driver = Driver(CONCURRENCY_LIMITED)
     driver.gateway.counter_breaker.consecutive_failures = 9
     driver.gateway.counter_breaker.next_trial_at = driver.now + SECOND
-    assert action_names(driver.request(entry_points=2)) == ["StartAttempt"]
-    assert action_names(driver.request(entry_points=2)) == ["Reject"]
+    assert action_names(driver.request(entry_point_count=2)) == ["StartAttempt"]
+    assert action_names(driver.request(entry_point_count=2)) == ["Reject"]
     driver.now += 2 * SECOND
     # A trial call, which adds nothing.
-    assert action_names(driver.request(entry_points=2)) == ["CounterAdd", "Reject"]
+    assert action_names(driver.request(entry_point_count=2)) == ["CounterAdd", "Reject"]
     assert driver.counter_calls[-1].amount == 0.0
     driver.counter_reply(5.0)
-    assert action_names(driver.request(entry_points=2)) == ["CounterAdd"]
+    assert action_names(driver.request(entry_point_count=2)) == ["CounterAdd"]
--- a/tests/policy/test_counter_breaker.py
+++ b/tests/policy/test_counter_breaker.py
@@ -31,7 +31,7 @@
     # Calls in one slow queue or on one broken connection fail at once. While the breaker is open, a request
     # is charged for all gateways that share the tenant, and most would be rejected needlessly.
     driver = Driver()
-    driver.request(entry_points=4)
+    driver.request(entry_point_count=4)
     assert action_names(driver.counter_reply(1.0)) == ["StartAttempt"]
     for tenant in range(1, 6):
         driver.request(tenant=tenant)
@@ -39,7 +39,7 @@
         driver.counter_reply(result=result)
     driver.finish_all()
     driver.gateway.counter_breaker.call_share = 1.0  # every request calls the counter
-    assert action_names(driver.request(units=2.0, entry_points=4)) == ["CounterAdd"]
+    assert action_names(driver.request(units=2.0, entry_point_count=4)) == ["CounterAdd"]
     assert action_names(driver.counter_reply(result=Result.TIMEOUT)) == ["StartAttempt"]
 
 
--- a/tests/policy/test_endpoint_updates.py
+++ b/tests/policy/test_endpoint_updates.py
@@ -42,5 +42,5 @@
     driver = Driver(LARGE_FLEET, endpoint_count=0)
     driver.update_endpoints(*ready_endpoints_of_two_classes(84), kind=UpdateKind.CACHED_SNAPSHOT)
     for cls in (IDEMPOTENT, IDEMPOTENCY_KEY, NOT_IDEMPOTENT):
-        assert driver.admit(class_index=cls, tenant=cls, entry_points=150)
+        assert driver.admit(class_index=cls, tenant=cls, entry_point_count=150)
     assert LARGE_FLEET.request_classes[NOT_IDEMPOTENT].idempotency is Idempotency.NOT_IDEMPOTENT
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -72,7 +72,7 @@
                 plan_index=number // 3 % 5,
                 tenant=number // 15 % 4,
                 units=1.0 + number // 60 % 4,
-                entry_points=3,
+                entry_point_count=3,
                 time_remaining=None if number % 7 else number % 50 * MS,
             )
         elif step == "attempt_finished" and in_flight:
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -90,7 +90,7 @@
 
 def test_overloaded_counter_leaves_the_decision_to_the_estimate() -> None:
     driver = Driver()
-    driver.request(entry_points=2)
+    driver.request(entry_point_count=2)
     assert action_names(driver.counter_reply(result=Result.OVERLOADED)) == ["StartAttempt"]
 
 
@@ -99,7 +99,7 @@
     admitted = 0
     # 8 requests a second for 10 s; the quota is 8 + 2 a second, the local share half of it.
     for _ in range(80):
-        driver.request(entry_points=2)
+        driver.request(entry_point_count=2)
         while driver.counter_calls:
             driver.counter_reply(result=Result.CONNECT_FAILED)
         driver.wait(125 * MS)
@@ -133,7 +133,7 @@
 def test_even_share_decides_without_a_counter() -> None:
     driver = Driver(replace(SETTINGS, counter=None))
     for _ in range(20):
-        driver.request(entry_points=4)
+        driver.request(entry_point_count=4)
         driver.finish_all()
     assert action_names(driver.actions).count("StartAttempt") == 2
 
@@ -141,7 +141,7 @@
 def test_single_lost_reply_does_not_limit_a_tenant_to_the_even_share() -> None:
     driver = Driver()
     for _ in range(2):
-        driver.request(entry_points=8)
+        driver.request(entry_point_count=8)
         assert action_names(driver.counter_reply(result=Result.TIMEOUT)) == ["StartAttempt"]
 
 
@@ -217,7 +217,7 @@
     for others in (0.0, 1.0):
         driver, totals = Driver(), CounterTotals()
         for _ in range(12):  # this gateway uses half of the quota, others nothing or the same
-            driver.request(entry_points=2)
+            driver.request(entry_point_count=2)
             totals.add(structs.replace(driver.counter_calls[0], amount=others), driver.now)
             driver.counter_reply(totals.add(driver.counter_calls[0], driver.now))
             driver.finish_all()
@@ -226,7 +226,7 @@
         driver.gateway.counter_breaker.call_share = 1e-9  # practically no calls
         admitted_before = action_names(driver.actions).count("StartAttempt")
         for _ in range(12):
-            driver.request(entry_points=2)
+            driver.request(entry_point_count=2)
             driver.finish_all()
         admitted.append(action_names(driver.actions).count("StartAttempt") - admitted_before)
     assert admitted[0] > admitted[1]
@@ -237,10 +237,10 @@
 def test_total_replaces_the_estimate_of_others_use() -> None:
     driver = Driver()
     driver.gateway.counter_breaker.call_share = 1e-9
-    assert action_names(driver.request(entry_points=4)) == ["StartAttempt"]  # charged as 4 units
+    assert action_names(driver.request(entry_point_count=4)) == ["StartAttempt"]  # charged as 4 units
     driver.gateway.counter_breaker.call_share = 1.0
     for units, total in ((4.0, 5.0), (2.0, 7.0)):  # others used nothing
-        driver.request(units=units, entry_points=4)
+        driver.request(units=units, entry_point_count=4)
         assert action_names(driver.counter_reply(total)) == ["StartAttempt"]
 
 
@@ -311,15 +311,15 @@
     driver, totals = Driver(), CounterTotals()
     for _ in range(4):
         driver.gateway.counter_breaker.call_share = 1e-9 if has_unreported else 1.0
-        driver.request(entry_points=2, class_index=NOT_IDEMPOTENT)
+        driver.request(entry_point_count=2, class_index=NOT_IDEMPOTENT)
         driver.gateway.counter_breaker.call_share = 1.0
-        driver.request(entry_points=2, class_index=NOT_IDEMPOTENT)
+        driver.request(entry_point_count=2, class_index=NOT_IDEMPOTENT)
         while driver.counter_calls:
             totals.add(structs.replace(driver.counter_calls[0], amount=2.0), driver.now)  # by others
             driver.counter_reply(totals.add(driver.counter_calls[0], driver.now))
         driver.finish_all()
         driver.wait(4 * SECOND)
-    driver.request(entry_points=2, class_index=NOT_IDEMPOTENT)
+    driver.request(entry_point_count=2, class_index=NOT_IDEMPOTENT)
     # Others add 7 units in a window that has just begun.
     totals.add(structs.replace(driver.counter_calls[0], amount=7.0), driver.now)
     actions = action_names(driver.counter_reply(totals.add(driver.counter_calls[0], driver.now)))
@@ -401,10 +401,10 @@
 
 def test_others_use_over_a_window_is_not_counted_as_used_at_once() -> None:
     driver = Driver(replace(LARGE_FLEET, fleet_size=40), endpoint_count=60)
-    driver.request(entry_points=30)
+    driver.request(entry_point_count=30)
     assert reply_to_oldest_call(driver, 1.0) == ["StartAttempt"]
     driver.wait(6 * SECOND)  # others used eight of the twelve units that were refilled meanwhile
-    driver.request(entry_points=30)
+    driver.request(entry_point_count=30)
     assert reply_to_oldest_call(driver, 10.0) == ["StartAttempt"]
 
 
@@ -421,7 +421,7 @@
             now += random.expovariate(4.0)
             driver = gateways[random.randrange(30)]
             driver.now = START + int(now * SECOND)
-            driver.request(units=2.0, entry_points=30)
+            driver.request(units=2.0, entry_point_count=30)
             while driver.counter_calls:
                 total = totals.add(driver.counter_calls[0], driver.now)
                 admitted += 2.0 * action_names(driver.counter_reply(total)).count("StartAttempt")
--- a/tests/policy/test_rate_ceiling.py
+++ b/tests/policy/test_rate_ceiling.py
@@ -15,7 +15,7 @@
     driver = Driver()
     driver.wait(10 * SECOND)
     for _ in range(40):  # this gateway's third of the ceiling is 20 units
-        driver.request(plan_index=CEILING_PLAN, entry_points=3)
+        driver.request(plan_index=CEILING_PLAN, entry_point_count=3)
         if driver.counter_calls:
             driver.counter_reply(1.0)  # the driver raises RuleViolationError above the ceiling
         driver.finish_all()
@@ -24,12 +24,12 @@
 
 def test_ceiling_is_empty_after_a_restart() -> None:
     driver = Driver()
-    driver.request(plan_index=CEILING_PLAN, entry_points=3, class_index=NOT_IDEMPOTENT)
+    driver.request(plan_index=CEILING_PLAN, entry_point_count=3, class_index=NOT_IDEMPOTENT)
     assert action_names(driver.actions)[-1] == "Reject"
 
 
 def test_restart_does_not_refill_the_ceiling_in_a_large_fleet() -> None:
     driver = Driver(LARGE_FLEET, endpoint_count=40)
     assert action_names(
-        driver.request(plan_index=CEILING_PLAN, tenant=TENANT, units=4.0, entry_points=7)
+        driver.request(plan_index=CEILING_PLAN, tenant=TENANT, units=4.0, entry_point_count=7)
     ) == ["Reject"]
--- a/tests/proxy/test_client_command.py
+++ b/tests/proxy/test_client_command.py
@@ -21,7 +21,12 @@
             await asyncio.sleep(0)
         command = await gateway.engine.calls.get()
         assert (command.class_index, command.plan_index, command.tenant, command.units) == (1, 0, 0xAB, 1.5)
-        assert (command.time_remaining_ms, command.entry_points, command.first_entry, command.is_retry) == (
+        assert (
+            command.time_remaining_ms,
+            command.entry_point_count,
+            command.first_entry_point,
+            command.is_retry,
+        ) == (
             480,
             3,
             1,
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -295,8 +295,8 @@
     """A call without the methods that answer it, so that any answer raises an error."""
 
     id = b"1"
-    class_index = plan_index = tenant = first_entry = 0
-    units, time_remaining_ms, entry_points, is_retry = 1.0, 1_000, 1, False
+    class_index = plan_index = tenant = first_entry_point = 0
+    units, time_remaining_ms, entry_point_count, is_retry = 1.0, 1_000, 1, False
     arrived_at_s = time.monotonic()
 
 
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -146,13 +146,13 @@
         tenant: int = TENANT,
         units: float = 1.0,
         time_remaining: int | None = None,
-        entry_points: int = 1,
+        entry_point_count: int = 1,
     ) -> list[Action]:
         """Send a request, by default with the deadline of its class as time remaining."""
         if time_remaining is None:
             time_remaining = self.settings.request_classes[class_index].deadline
         request = Request(
-            self.next_request_id, class_index, plan_index, tenant, units, time_remaining, entry_points
+            self.next_request_id, class_index, plan_index, tenant, units, time_remaining, entry_point_count
         )
         self.next_request_id += 1
         self.requests[request.id] = TrackedRequest(request, self.now + time_remaining)
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -133,9 +133,9 @@
         plan = self.settings.plans[request.plan_index]
         if plan.ceiling_rate <= 0:
             return
-        burst = plan.ceiling_burst / request.entry_points
+        burst = plan.ceiling_burst / request.entry_point_count
         units, updated_at = self._ceilings.get(request.tenant, (burst, now))
-        refilled = plan.ceiling_rate / request.entry_points * (now - updated_at) / SECOND
+        refilled = plan.ceiling_rate / request.entry_point_count * (now - updated_at) / SECOND
         units = min(burst, units + refilled) - request.units
         if units < -ROUNDING_TOLERANCE:
             raise RuleViolationError("over this gateway's share of the ceiling")
