--- a/rushroad/bench/simulated/module_cost.py
+++ b/rushroad/bench/simulated/module_cost.py
@@ -147,7 +147,7 @@
         Endpoint(
             endpoint_name(number),
             EndpointState.READY,
-            endpoint_class=number % 2,
+            endpoint_class_index=number % 2,
             zone=number % ZONES,
             cell=number // (ZONES * CELL_SIZE),
         )
--- a/rushroad/bench/simulated/rate_server.py
+++ b/rushroad/bench/simulated/rate_server.py
@@ -51,8 +51,8 @@
         self.zone = number % zones
         self.cell = number // (zones * CELL_SIZE) * zones + self.zone
         self.name = endpoint_name(number)
-        self.endpoint_class = int(simulation.random.random() < SLOW_CLASS_SHARE)
-        self.speed = simulation.random.uniform(*CORE_SPEED_RANGES[self.endpoint_class])
+        self.endpoint_class_index = int(simulation.random.random() < SLOW_CLASS_SHARE)
+        self.speed = simulation.random.uniform(*CORE_SPEED_RANGES[self.endpoint_class_index])
         self.started_at = 0  # 0: long before the run
         self.silent = False  # unreachable: attempts get no response
         self.down = False  # process stopped: connections fail
@@ -65,7 +65,7 @@
 
     def endpoint(self, state: EndpointState = EndpointState.READY) -> Endpoint:
         """Return its entry in the endpoint list."""
-        return Endpoint(self.name, state, self.endpoint_class, self.zone, self.cell, self.started_at)
+        return Endpoint(self.name, state, self.endpoint_class_index, self.zone, self.cell, self.started_at)
 
     def capacity_fraction(self) -> float:
         """Return the fraction of its full capacity that it has now; below 1 during warm-up."""
--- a/rushroad/policy/active_endpoints.py
+++ b/rushroad/policy/active_endpoints.py
@@ -41,8 +41,8 @@
     """An entry of the endpoint list, with the state that each part of the policy keeps for it."""
 
     __slots__ = (
+        "class_stats",
         "concurrency",
-        "endpoint_class",
         "entry",
         "is_fallback",
         "latency",
@@ -54,13 +54,13 @@
     def __init__(
         self,
         entry: Endpoint,
-        endpoint_class: EndpointClassStats,
+        class_stats: EndpointClassStats,
         concurrency: EndpointConcurrency,
         slow_start: SlowStartBudget,
         now: int,
     ) -> None:
         self.entry = entry
-        self.endpoint_class = endpoint_class
+        self.class_stats = class_stats
         self.is_fallback = False  # from outside the subset
         self.concurrency = concurrency
         self.latency = RelativeLatency()
@@ -131,9 +131,9 @@
 
     def _add(self, entry: Endpoint, now: int) -> ActiveEndpoint:
         concurrency = EndpointConcurrency(self._limiter.new_limit(now))
-        endpoint_class = self._class_stats.setdefault(entry.endpoint_class, EndpointClassStats(now))
+        class_stats = self._class_stats.setdefault(entry.endpoint_class_index, EndpointClassStats(now))
         budget = SlowStartBudget(self._random, now)
-        endpoint = ActiveEndpoint(entry, endpoint_class, concurrency, budget, now)
+        endpoint = ActiveEndpoint(entry, class_stats, concurrency, budget, now)
         self._endpoints[entry.name] = endpoint
         return endpoint
 
@@ -208,7 +208,7 @@
         While the class has had no response, the mean over all classes is returned.
         """
         self._update_warm_counts(now)
-        own = endpoint.endpoint_class.throughput
+        own = endpoint.class_stats.throughput
         throughputs = [own] if own.is_known else [each.throughput for each in self._class_stats.values()]
         rate = sum(throughput.rate(now) for throughput in throughputs)
         warm = sum(throughput.mean_warm_count(now) for throughput in throughputs)
@@ -224,10 +224,10 @@
         self._remove_unneeded_fallbacks(now)
         self._warm_count = sum(not self._slow_start.is_warming_up(e.entry, now) for e in self.ready)
         self._warm_counted_at = now
-        for number, endpoint_class in self._class_stats.items():
-            entries = (e.entry for e in self.ready if e.entry.endpoint_class == number)
+        for class_index, class_stats in self._class_stats.items():
+            entries = (e.entry for e in self.ready if e.entry.endpoint_class_index == class_index)
             warm = sum(not self._slow_start.is_warming_up(entry, now) for entry in entries)
-            endpoint_class.throughput.set_warm_count(warm, now)
+            class_stats.throughput.set_warm_count(warm, now)
 
     def _remove_unneeded_fallbacks(self, now: int) -> None:
         """Remove idle fallback endpoints if enough endpoints of the subset are warm and not suspect."""
--- a/rushroad/policy/attempt_result_recorder.py
+++ b/rushroad/policy/attempt_result_recorder.py
@@ -56,9 +56,9 @@
         is_success = event.result is Result.OK
         if relative is not None:
             endpoint.latency.record(relative)
-            endpoint.endpoint_class.latency.record(relative)
+            endpoint.class_stats.latency.record(relative)
             if is_success and not self._slow_start.is_warming_up(endpoint.entry, now):
-                endpoint.endpoint_class.throughput.record_response(now)
+                endpoint.class_stats.throughput.record_response(now)
         if is_success:
             self._latency.record_response(event.elapsed, class_index)
 
--- a/rushroad/policy/events.py
+++ b/rushroad/policy/events.py
@@ -112,7 +112,7 @@
 
     name: str
     state: EndpointState
-    endpoint_class: int = 0
+    endpoint_class_index: int = 0
     zone: int = 0
     cell: int = 0
     started_at: int = 0  # 0: started long ago
--- a/rushroad/policy/load_balancer.py
+++ b/rushroad/policy/load_balancer.py
@@ -120,7 +120,7 @@
         other_load = endpoint.load.requests * confidence + self._mean_load * (1.0 - confidence)
         samples = endpoint.latency.samples
         own_share = samples / (samples + CLASS_LATENCY_PRIOR_SAMPLES)
-        latency = endpoint.latency.mean * own_share + endpoint.endpoint_class.latency.mean * (1.0 - own_share)
+        latency = endpoint.latency.mean * own_share + endpoint.class_stats.latency.mean * (1.0 - own_share)
         tie_break = self._random.uniform(1.0 - TIE_BREAK_JITTER, 1.0 + TIE_BREAK_JITTER)
         random_factor = tie_break * math.pow(self._random.expovariate(1.0), (1.0 - confidence) / 2)
         error_factor = 1.0 + ERROR_RATE_WEIGHT * endpoint.outlier.error_rate
--- a/rushroad/proxy/endpoint_decoder.py
+++ b/rushroad/proxy/endpoint_decoder.py
@@ -104,7 +104,9 @@
     endpoint = Endpoint(
         name=entry.instance_id,
         state=state,
-        endpoint_class=0 if machine_type is None else settings.endpoint_class_indexes.get(machine_type, 0),
+        endpoint_class_index=0
+        if machine_type is None
+        else settings.endpoint_class_indexes.get(machine_type, 0),
         zone=0 if zone is None else settings.zone_indexes.get(zone, 0),
         cell=entry.cell,
         started_at=entry.started_at_ms * 1_000,
--- a/rushroad/simulator/event_records.py
+++ b/rushroad/simulator/event_records.py
@@ -119,11 +119,13 @@
 
 
 def _read_roster_entry(reader: FrameReader) -> Endpoint:
-    endpoint_class, zone, cell, state, address, started_at, weight = reader.read_fields(_ROSTER_ENTRY_LAYOUT)
+    endpoint_class_index, zone, cell, state, address, started_at, weight = reader.read_fields(
+        _ROSTER_ENTRY_LAYOUT
+    )
     if state not in (EndpointState.REMOVED, EndpointState.READY, EndpointState.DRAINING):
         raise ProtocolError(f"unknown endpoint state {state}, expected 1, 2 or 3")
     name = endpoint_name(address)
-    return Endpoint(name, EndpointState(state), endpoint_class, zone, cell, started_at, weight)
+    return Endpoint(name, EndpointState(state), endpoint_class_index, zone, cell, started_at, weight)
 
 
 _DISCOVERY_LAYOUT = struct.Struct("<IHBQ")
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -36,7 +36,7 @@
             watch.peer.writers[0].write(chunk(part))
         update, listed = await watch.queue.get()
         endpoint = Endpoint(
-            "s-1", EndpointState.READY, endpoint_class=1, zone=0, cell=3, started_at=5_000, weight=1.0
+            "s-1", EndpointState.READY, endpoint_class_index=1, zone=0, cell=3, started_at=5_000, weight=1.0
         )
         assert update == EndpointUpdate(UpdateKind.DELTA, 42, (endpoint,))
         assert listed == [(endpoint, (LOCAL, 81))]
--- a/tests/support/policy_scenarios.py
+++ b/tests/support/policy_scenarios.py
@@ -40,7 +40,7 @@
 def ready_endpoints_of_two_classes(count: int) -> tuple[Endpoint, ...]:
     """Ready endpoints, alternating between two endpoint classes."""
     return tuple(
-        Endpoint(f"10.0.{n // 250}.{n % 250 + 1}:80", EndpointState.READY, endpoint_class=n % 2)
+        Endpoint(f"10.0.{n // 250}.{n % 250 + 1}:80", EndpointState.READY, endpoint_class_index=n % 2)
         for n in range(count)
     )
 
