--- a/rushroad/policy/actions.py
+++ b/rushroad/policy/actions.py
@@ -38,7 +38,7 @@
 class CounterAdd(msgspec.Struct, frozen=True, gc=False):
     """Add to a named counter of the counter service, which expires `lifetime` after its first add."""
 
-    name: int
+    counter_name: int
     amount: float
     lifetime: int
 
--- a/rushroad/policy/events.py
+++ b/rushroad/policy/events.py
@@ -87,7 +87,7 @@
 class CounterReply(msgspec.Struct, frozen=True, gc=False):
     """The reply to a CounterAdd."""
 
-    name: int
+    counter_name: int
     result: Result
     elapsed: int
     total: float
@@ -96,7 +96,7 @@
 class LateCounterReply(msgspec.Struct, frozen=True, gc=False):
     """The total for a CounterAdd already reported as TIMEOUT; it may never arrive."""
 
-    name: int
+    counter_name: int
     amount: float
     total: float
 
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -206,7 +206,7 @@
             self._reject_or_fail(pending)
 
     def _on_counter_reply(self, reply: CounterReply) -> None:
-        call = self.counter_calls.take_oldest(reply.name)
+        call = self.counter_calls.take_oldest(reply.counter_name)
         request_id = call.waiting_request
         pending = self.pending_requests.get(request_id) if request_id is not None else None
         self.counter_breaker.record(reply, self._now)
@@ -218,7 +218,7 @@
             self._apply_admission(admission, pending)
 
     def _on_late_counter_reply(self, reply: LateCounterReply) -> None:
-        tenant_id = tenant_of_units_counter(reply.name)
+        tenant_id = tenant_of_units_counter(reply.counter_name)
         tenant = self.tenants.get(tenant_id) if tenant_id is not None else None
         if tenant is not None:
             tenant.usage.apply_late_total(reply.amount, reply.total, self._now)
--- a/rushroad/proxy/counter_client.py
+++ b/rushroad/proxy/counter_client.py
@@ -60,29 +60,31 @@
     def _start_tasks(self) -> list[asyncio.Task[None]]:
         return [self.loop.create_task(self._maintain_connection(index)) for index in range(CONNECTION_COUNT)]
 
-    def add(self, name: int, amount: float, lifetime_us: int) -> None:
+    def add(self, counter_name: int, amount: float, lifetime_us: int) -> None:
         """Add to the total of a name; lifetime_us: how long the counter keeps the total.
 
         Exactly one CounterReply follows, and a LateCounterReply if the total arrives after a TIMEOUT.
         """
-        call = CounterCall(name, amount, encode_add(name, amount, lifetime_us), self.loop.time())
-        connection = self.connection_for(name)
+        call = CounterCall(
+            counter_name, amount, encode_add(counter_name, amount, lifetime_us), self.loop.time()
+        )
+        connection = self.connection_for(counter_name)
         if connection is None:
             self.finish(call, Result.CONNECT_FAILED)
             return
         call.timer = self.loop.call_later(self._timeout_s, self.finish, call, Result.TIMEOUT)
-        calls = self._in_flight.get(name)
+        calls = self._in_flight.get(counter_name)
         if calls is None:
-            self._in_flight[name] = InFlightCalls(connection)
+            self._in_flight[counter_name] = InFlightCalls(connection)
         else:
             calls.connection = connection
             calls.count += 1
         connection.send(call)
 
-    def connection_for(self, name: int) -> CounterConnection | None:
+    def connection_for(self, counter_name: int) -> CounterConnection | None:
         """Return the connection for calls of a name: its assigned one if usable, otherwise any usable one."""
-        calls = self._in_flight.get(name)
-        connection = self._connections[name % CONNECTION_COUNT] if calls is None else calls.connection
+        calls = self._in_flight.get(counter_name)
+        connection = self._connections[counter_name % CONNECTION_COUNT] if calls is None else calls.connection
         if connection is not None and connection.is_usable():
             return connection
         return next((other for other in self._connections if other is not None and other.is_usable()), None)
@@ -105,7 +107,7 @@
         Late totals from a retired connection are dropped, as they may come from a different counter than the
         one now in use.
         """
-        if call.name is None:
+        if call.counter_name is None:
             if line != PING_REPLY:
                 raise InvalidReplyError(f"expected {PING_REPLY!r}, got {line[:80]!r}")
             return
@@ -118,22 +120,22 @@
             self.finish(call, Result.OVERLOADED)
             return
         if call.finished and not is_retired:
-            self._on_event(LateCounterReply(call.name, call.amount, total))
+            self._on_event(LateCounterReply(call.counter_name, call.amount, total))
         self.finish(call, Result.OK, total)
 
     def finish(self, call: CounterCall, result: Result, total: float = 0.0) -> None:
         """Report a call's outcome; further outcomes of the same call are dropped."""
-        if call.finished or call.name is None:
+        if call.finished or call.counter_name is None:
             return
         call.finished = True
         if call.timer is not None:
             call.timer.cancel()
-            calls = self._in_flight[call.name]
+            calls = self._in_flight[call.counter_name]
             calls.count -= 1
             if not calls.count:
-                del self._in_flight[call.name]
+                del self._in_flight[call.counter_name]
         self._on_event(
-            CounterReply(call.name, result, int((self.loop.time() - call.started_at_s) * 1e6), total)
+            CounterReply(call.counter_name, result, int((self.loop.time() - call.started_at_s) * 1e6), total)
         )
 
     async def _maintain_connection(self, index: int) -> None:
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -61,7 +61,7 @@
 class Counter(Protocol):
     """Sends additions to the shared counter."""
 
-    def add(self, name: int, amount: float, lifetime_us: int) -> None:
+    def add(self, counter_name: int, amount: float, lifetime_us: int) -> None:
         """Add to a counter and post exactly one `CounterReply` event."""
 
 
@@ -215,7 +215,7 @@
             case StartAttempt():
                 self._start_attempt(action)
             case CounterAdd():
-                self.counter.add(action.name, action.amount, action.lifetime)
+                self.counter.add(action.counter_name, action.amount, action.lifetime)
             case SetTimer():
                 self._loop.call_later(action.delay / 1e6, self.post, TimerFired(action.token))
             case Reject():
--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -39,7 +39,7 @@
         case Request():
             yield CounterAdd(event.id, 1.0, 1_000)
         case CounterReply():
-            yield StartAttempt(event.name, "s-1", LONG_TIMEOUT_US)
+            yield StartAttempt(event.counter_name, "s-1", LONG_TIMEOUT_US)
         case AttemptFinished(final=False):
             yield SetTimer(0, event.request_id)
         case TimerFired():
@@ -53,14 +53,14 @@
         self._engine = engine
         self.pending: list[int] = []
 
-    def add(self, name: int, _amount: float, _lifetime: int) -> None:
-        self.pending.append(name)
+    def add(self, counter_name: int, _amount: float, _lifetime: int) -> None:
+        self.pending.append(counter_name)
 
     def reply_all(self) -> None:
         """Reply to all additions, with no turn of the loop between them."""
         pending, self.pending = self.pending, []
-        for name in pending:
-            self._engine.post(CounterReply(name, Result.OK, 0, 1.0))
+        for counter_name in pending:
+            self._engine.post(CounterReply(counter_name, Result.OK, 0, 1.0))
 
 
 class Gateway:
--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -26,7 +26,7 @@
         client.add(0xABC, -2.5, 4_000_001)
         assert await peer.answer(reply) == b"bump abc -2.500000 4001\r\n"
         posted = await replies.get()
-        assert (posted.name, posted.result, posted.total) == (0xABC, result, total)
+        assert (posted.counter_name, posted.result, posted.total) == (0xABC, result, total)
 
     run_with_counter_client(scenario, LONG_TIMEOUT)
 
@@ -52,9 +52,9 @@
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         writer, data = await peer.hear()
         assert data == b"ping\r\n"
-        name = next(n for n in range(9) if client.connection_for(n) is client.connection_for(0))
+        counter_name = next(n for n in range(9) if client.connection_for(n) is client.connection_for(0))
         writer.write(b"pong\r\n")
-        client.add(name, 1.0, 1_000)
+        client.add(counter_name, 1.0, 1_000)
         assert replies.empty()
 
     run_with_counter_client(scenario, LONG_TIMEOUT)
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -50,8 +50,8 @@
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
-    def add(self, name: int, amount: float, _lifetime: int) -> None:
-        self._engine.post(CounterReply(name, Result.OK, 0, amount))
+    def add(self, counter_name: int, amount: float, _lifetime: int) -> None:
+        self._engine.post(CounterReply(counter_name, Result.OK, 0, amount))
 
 
 @dataclass
