--- a/rushroad/policy/latency.py
+++ b/rushroad/policy/latency.py
@@ -5,7 +5,9 @@
 from rushroad.policy.events import AttemptFinished, Result
 from rushroad.policy.settings import Settings
 
-SMOOTHING = 0.03  # weight of a new response time; work varies as much as its mean, so about 30 must count
+RESPONSE_TIME_SMOOTHING = (
+    0.03  # weight of a new time; work varies as much as its mean, so about 30 must count
+)
 
 
 class RelativeLatency:
@@ -23,7 +25,7 @@
     def record(self, relative: float) -> None:
         """Add a sample."""
         self.samples += 1
-        self.mean += max(SMOOTHING, 1.0 / self.samples) * (relative - self.mean)
+        self.mean += max(RESPONSE_TIME_SMOOTHING, 1.0 / self.samples) * (relative - self.mean)
 
 
 class LatencyTracker:
@@ -53,4 +55,4 @@
     def record_response(self, elapsed: int, class_index: int) -> None:
         """Add the response time of a successful attempt."""
         typical = self._typical[class_index] or float(elapsed)
-        self._typical[class_index] = typical + SMOOTHING * (elapsed - typical)
+        self._typical[class_index] = typical + RESPONSE_TIME_SMOOTHING * (elapsed - typical)
--- a/rushroad/policy/load_shedding.py
+++ b/rushroad/policy/load_shedding.py
@@ -14,7 +14,7 @@
     from rushroad.policy.active_endpoints import ActiveEndpoint
     from rushroad.policy.endpoint_table import EndpointTable
 
-SMOOTHING = 0.2  # weight of a new request in the running mean of request values
+REQUEST_VALUE_SMOOTHING = 0.2  # weight of a new request in the running mean of request values
 LOW_PRIORITY_RESERVE = 0.5  # of the full credit; requests of the lowest priority leave it to others
 
 
@@ -56,7 +56,7 @@
         """Return how far a request's value is below the mean, from 0 to 1; for one over its quota, 1."""
         weight = pending.request_class.priority_weight * pending.plan.weight_multiplier
         value = weight / (self._latency.typical(pending.request.class_index) or self._longest_objective)
-        self._mean_value += SMOOTHING * (value - self._mean_value)
+        self._mean_value += REQUEST_VALUE_SMOOTHING * (value - self._mean_value)
         return 1.0 if pending.is_likely_over_quota else max(0.0, 1.0 - value / self._mean_value)
 
     def has_capacity(self, endpoints: Sequence[ActiveEndpoint], now: int, deficit: float = 0.0) -> bool:
--- a/rushroad/policy/outlier_detection.py
+++ b/rushroad/policy/outlier_detection.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from rushroad.policy.active_endpoints import ActiveEndpoint
 
-SMOOTHING = 0.2  # weight of a new result in an endpoint's error rate
+ERROR_RATE_SMOOTHING = 0.2  # weight of a new result in an endpoint's error rate
 MAX_ERROR_RATE = 0.3  # above it an endpoint is ejected; healthy ones are far below
 MAX_EJECTED_FRACTION = 0.5  # of the endpoints; if more look unhealthy, the cause is likely shared
 PROBE_INTERVAL_RESPONSES = 6.0  # typical response times between probes of an ejected endpoint
@@ -99,13 +99,13 @@
     def record_success(self, endpoint: ActiveEndpoint) -> None:
         """Lower the error rate after a successful response, which may end the ejection."""
         state = endpoint.outlier
-        state.error_rate *= 1 - SMOOTHING
+        state.error_rate *= 1 - ERROR_RATE_SMOOTHING
         state.ejected = state.ejected and state.error_rate > MAX_ERROR_RATE
 
     def record_error(self, endpoint: ActiveEndpoint, result: Result, now: int) -> None:
         """Raise the error rate after an error, reset or failed connection, which may eject the endpoint."""
         state = endpoint.outlier
-        weight = 1.0 if result is Result.CONNECT_FAILED else SMOOTHING
+        weight = 1.0 if result is Result.CONNECT_FAILED else ERROR_RATE_SMOOTHING
         state.error_rate += (1 - state.error_rate) * weight
         if state.error_rate > MAX_ERROR_RATE:
             self.eject(endpoint, now)
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -16,7 +16,7 @@
 from rushroad.policy.events import CounterReply, Result
 from rushroad.policy.pending_request import PendingRequest
 from rushroad.policy.settings import Settings
-from rushroad.policy.tenant_usage import SMOOTHING, window_length
+from rushroad.policy.tenant_usage import USAGE_SMOOTHING, window_length
 from rushroad.policy.time_units import SECOND
 from rushroad.policy.timers import CounterWaitExpired, Timers
 
@@ -173,7 +173,7 @@
     def _decide_by_total(self, call: CounterCall, pending: PendingRequest, now: int) -> Admission:
         usage, plan_index = call.tenant.usage, pending.request.plan_index
         previously_unreported = max(0.0, call.amount - pending.counted_units)
-        usage.mean_unreported += SMOOTHING * (previously_unreported - usage.mean_unreported)
+        usage.mean_unreported += USAGE_SMOOTHING * (previously_unreported - usage.mean_unreported)
         rejected = not self._fits(pending, pending.request.units, now)
         usage.decisions += 1.0
         usage.rejections += rejected
--- a/rushroad/policy/tenant_usage.py
+++ b/rushroad/policy/tenant_usage.py
@@ -17,7 +17,7 @@
 MAX_MARGIN_FRACTION = 0.5  # of the burst, kept free for use that other gateways have not reported yet
 PRIOR_UNITS = 2.0  # weight of the prior that all gateways admit equally, in own units of totals
 DECISION_DECAY_REFILLS = 8.0  # time constant of the decay of decision counts, in refills of the burst
-SMOOTHING = 0.2  # weight of a new value in an exponential moving average
+USAGE_SMOOTHING = 0.2  # weight of a new value in the moving averages of a tenant's units
 
 
 def window_length(plan: Plan) -> int:
@@ -131,8 +131,8 @@
         confirmed = min(max(others, 0.0), self._unconfirmed) if self._unconfirmed > 0 else self._unconfirmed
         self.unreported += self._unconfirmed - confirmed
         self._unconfirmed, others = 0.0, others - confirmed
-        self._observed_own += amount + confirmed - SMOOTHING * self._observed_own
-        self._observed_others += others - SMOOTHING * self._observed_others
+        self._observed_own += amount + confirmed - USAGE_SMOOTHING * self._observed_own
+        self._observed_others += others - USAGE_SMOOTHING * self._observed_others
         estimated, self.estimated_others = self.estimated_others, 0.0
         return others - estimated - self._refilled_part(others - estimated, now)
 
