--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -261,7 +261,7 @@
         if attempt_check_delay is not None:
             self.timers.start(attempt_check_delay, AttemptCheckDue(request.id, number))
         if number == 0:
-            pending.tenant.ceiling.take(request.units)
+            pending.tenant.ceiling.consume(request.units)
         if not pending.in_flight:
             pending.tenant.concurrency.request_opened()
         self._outbox.add(StartAttempt(request.id, endpoint.entry.name, timeout))
@@ -269,7 +269,7 @@
         endpoint.concurrency.in_flight[(request.id, number)] = now
         if endpoint.outlier.ejected:
             self.outliers.schedule_probe(endpoint, now)
-        self.slow_start.take(endpoint)
+        self.slow_start.consume(endpoint)
         pending.in_flight[number] = InFlightAttempt(endpoint, now)
         pending.attempt_count += 1
 
--- a/rushroad/policy/rate_ceiling.py
+++ b/rushroad/policy/rate_ceiling.py
@@ -31,6 +31,6 @@
         """Whether a request of `units` stays within the ceiling."""
         return plan.ceiling_rate <= 0 or self.available_units >= units
 
-    def take(self, units: float) -> None:
-        """Take the units of a request that is forwarded for the first time."""
+    def consume(self, units: float) -> None:
+        """Consume the units of a request that is forwarded for the first time."""
         self.available_units -= units
--- a/rushroad/policy/slow_start.py
+++ b/rushroad/policy/slow_start.py
@@ -62,6 +62,6 @@
         budget.attempts, budget.updated_at = min(MAX_BUDGET, grown), now
         return budget.attempts >= MAX_BUDGET
 
-    def take(self, endpoint: ActiveEndpoint) -> None:
-        """Take a started attempt from the budget."""
+    def consume(self, endpoint: ActiveEndpoint) -> None:
+        """Consume the budget for a started attempt."""
         endpoint.slow_start.attempts -= 1.0
