--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -303,8 +303,8 @@
 
     def _complete(self, pending: PendingRequest, event: AttemptFinished) -> None:
         """Remove a request that is over, because of this attempt or already before it."""
-        if event.result is Result.OK and self._settings.settles_units and event.actual_units is not None:
-            self.quota.settle(pending, event.actual_units)
+        if event.result is Result.OK and self._settings.uses_actual_units and event.actual_units is not None:
+            self.quota.correct_units(pending, event.actual_units)
         del self.pending_requests[event.request_id]
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
--- a/rushroad/policy/latency.py
+++ b/rushroad/policy/latency.py
@@ -5,9 +5,8 @@
 from rushroad.policy.events import AttemptFinished, Result
 from rushroad.policy.settings import Settings
 
-RESPONSE_TIME_SMOOTHING = (
-    0.03  # weight of a new time; work varies as much as its mean, so about 30 must count
-)
+# Weight of a new response time. Work varies as much as its mean, so about 30 must count.
+RESPONSE_TIME_SMOOTHING = 0.03
 
 
 class RelativeLatency:
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -202,7 +202,7 @@
         usage = pending.tenant.usage
         usage.used = max(0.0, usage.used - pending.request.units)
 
-    def settle(self, pending: PendingRequest, actual_units: float) -> None:
+    def correct_units(self, pending: PendingRequest, actual_units: float) -> None:
         """Correct the units of a request to the actual ones; the next call corrects the total."""
         usage = pending.tenant.usage
         units = actual_units - pending.request.units
--- a/rushroad/policy/settings.py
+++ b/rushroad/policy/settings.py
@@ -108,7 +108,7 @@
     safety: SafetyLimits = SafetyLimits()
     counter: CounterSettings | None = None
     max_units: float = 1.0  # maximum units of one request
-    settles_units: bool = False  # units of a request are an estimate; its response reports the actual units
+    uses_actual_units: bool = False  # reported by a response, in place of the estimated units of its request
     uses_endpoint_weights: bool = False  # weights in the endpoint list are relative sizes
     polls_endpoints: bool = False  # the endpoint list must be polled
     load_report_fields: tuple[str, ...] = ()  # names of the values in a load report, in order
--- a/rushroad/policy/settings_reader.py
+++ b/rushroad/policy/settings_reader.py
@@ -123,7 +123,7 @@
         safety=_read_safety_limits(safety),
         counter=_read_counter(extra) if extra.optional("counter", False) else None,
         max_units=extra.optional("unitsTop", 1),
-        settles_units=extra.optional("truedUp", False),
+        uses_actual_units=extra.optional("truedUp", False),
         uses_endpoint_weights=root.optional("weights", "off") in ENABLED_WEIGHT_MODES,
         polls_endpoints=root.optional("registryMode", None) == "subscribe",
         load_report_fields=load_report.strings("fields"),
--- a/rushroad/proxy/upstream_response.py
+++ b/rushroad/proxy/upstream_response.py
@@ -42,7 +42,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self._load_report_fields = settings.load_report_fields
-        self._settles_units, self._max_units = settings.settles_units, settings.max_units
+        self._uses_actual_units, self._max_units = settings.uses_actual_units, settings.max_units
         # Prefixes of load reports in error lines; empty if load reports come by health check instead.
         in_responses = not settings.load_reports_by_health_check
         self._load_report_prefixes = (
@@ -95,7 +95,7 @@
 
     def _parse_actual_units(self, usage: bytes | None) -> float | None:
         """Parse the actual units from usage figures, if the settings use actual units."""
-        found = ACTUAL_UNITS.search(usage) if usage and self._settles_units else None
+        found = ACTUAL_UNITS.search(usage) if usage and self._uses_actual_units else None
         if found is None:
             return None
         units = float(found[1])
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -34,7 +34,7 @@
             hedging_allowed=draw(st.booleans()),
             cancellation_allowed=draw(st.booleans()),
         ),
-        settles_units=draw(st.booleans()),
+        uses_actual_units=draw(st.booleans()),
         uses_endpoint_weights=draw(st.booleans()),
     )
 
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -145,8 +145,8 @@
         assert action_names(driver.counter_reply(result=Result.TIMEOUT)) == ["StartAttempt"]
 
 
-def test_estimated_units_are_settled_with_the_actual_ones() -> None:
-    driver = Driver(replace(SETTINGS, settles_units=True))
+def test_estimated_units_are_corrected_to_the_actual_ones() -> None:
+    driver = Driver(replace(SETTINGS, uses_actual_units=True))
     attempt = driver.admit(units=2.0)
     tracked = driver.requests[attempt.request_id]
     tracked.in_flight.clear()
@@ -349,7 +349,7 @@
     # Without a counter no call may be made, nor may units be subtracted that were never added.
     for fleet_size in (3, 40):
         driver = Driver(
-            replace(SETTINGS, counter=None, settles_units=True, fleet_size=fleet_size), endpoint_count=1
+            replace(SETTINGS, counter=None, uses_actual_units=True, fleet_size=fleet_size), endpoint_count=1
         )
         attempt = driver.admit()
         driver.update_endpoints(ready_endpoint(1, state=EndpointState.DRAINING))
--- a/tests/proxy/test_upstream_response.py
+++ b/tests/proxy/test_upstream_response.py
@@ -74,4 +74,4 @@
         assert harness.engine.actual_units == [units]
         harness.upstream.close()
 
-    run_upstream_scenario(scenario, settings=replace(ATTEMPT_SETTINGS, settles_units=True))
+    run_upstream_scenario(scenario, settings=replace(ATTEMPT_SETTINGS, uses_actual_units=True))
