--- a/rushroad/bench/real/measurements.py
+++ b/rushroad/bench/real/measurements.py
@@ -52,7 +52,7 @@
             tenants_seen=result.tenants_seen,
             **_latency_fields(result),
             **_traffic_fields(before, after, requests),
-            cpu_us_request=cpu_s / requests * 1e6,
+            cpu_us_per_request=cpu_s / requests * 1e6,
             core_share=cpu_s / result.seconds / scenario.gateways,
             idle_core_share=idle_core_share,
             ready_s=ready_s,
@@ -102,9 +102,9 @@
         "late_attempts": servers.late_attempts - servers_before.late_attempts,
         "syntax_errors": servers.syntax_errors - servers_before.syntax_errors,
         "list_changes": after.discovery.changes - before.discovery.changes,
-        "connects_request": (servers.connects - servers_before.connects) / requests,
-        "counter_calls_request": (counter.calls - counter_before.calls) / requests,
-        "counter_bytes_request": counter_bytes / requests,
+        "connects_per_request": (servers.connects - servers_before.connects) / requests,
+        "counter_calls_per_request": (counter.calls - counter_before.calls) / requests,
+        "counter_bytes_per_request": counter_bytes / requests,
     }
 
 
--- a/rushroad/bench/real/rows.py
+++ b/rushroad/bench/real/rows.py
@@ -28,10 +28,10 @@
     late_attempts: int  # to endpoints removed more than LATE_AFTER_S before
     syntax_errors: int = msgspec.field(name="syntax")
     list_changes: int = msgspec.field(name="changes")
-    connects_request: float
-    counter_calls_request: float = msgspec.field(name="calls_request")
-    counter_bytes_request: float = msgspec.field(name="bytes_request")
-    cpu_us_request: float
+    connects_per_request: float = msgspec.field(name="connects_request")
+    counter_calls_per_request: float = msgspec.field(name="calls_request")
+    counter_bytes_per_request: float = msgspec.field(name="bytes_request")
+    cpu_us_per_request: float = msgspec.field(name="cpu_us_request")
     core_share: float
     idle_core_share: float  # before the first request
     ready_s: float
@@ -59,8 +59,8 @@
 
     requests: int
     served: int
-    counter_calls_request: float = msgspec.field(name="calls_request")
-    counter_bytes_request: float = msgspec.field(name="bytes_request")
+    counter_calls_per_request: float = msgspec.field(name="calls_request")
+    counter_bytes_per_request: float = msgspec.field(name="bytes_request")
 
 
 class StartRow(ConditionRow, frozen=True, kw_only=True):
--- a/tests/bench/real/test_measurements.py
+++ b/tests/bench/real/test_measurements.py
@@ -37,7 +37,7 @@
     )
     row = measure_cost(scenario)
     assert (row.requests, row.served, row.syntax_errors, row.tenants_seen) == (50, 50, 0, 9)
-    assert row.counter_calls_request > 0
+    assert row.counter_calls_per_request > 0
     call_bytes = len("bump 0 1.000000 1\r\nok 1\r\n")
-    assert row.counter_bytes_request > row.counter_calls_request * call_bytes
+    assert row.counter_bytes_per_request > row.counter_calls_per_request * call_bytes
     assert row.list_changes > 0
--- a/tests/bench/test_stored_runs.py
+++ b/tests/bench/test_stored_runs.py
@@ -47,9 +47,9 @@
     record = next(record for record in stored_records if record.experiment == "cost-by-servers")
     row = record.rows[0]
     assert isinstance(row, CostRow)
-    mapped = (row.rejected, row.syntax_errors, row.list_changes, row.counter_calls_request)
+    mapped = (row.rejected, row.syntax_errors, row.list_changes, row.counter_calls_per_request)
     assert mapped == (first["refused"], first["syntax"], first["changes"], first["calls_request"])
-    assert row.counter_bytes_request == first["bytes_request"]
+    assert row.counter_bytes_per_request == first["bytes_request"]
 
 
 def test_row_types_of_one_experiment_are_distinguished(stored_records: list[Record]) -> None:
