--- a/rushroad/bench/simulated/gateway.py
+++ b/rushroad/bench/simulated/gateway.py
@@ -175,6 +175,6 @@
             self.connected.discard(attempt.endpoint)
         if result is Result.OK and request_id in self.pending:
             self._complete_request(request_id, Metric.SERVED)
-        final = request_id not in self.pending
+        is_final = request_id not in self.pending
         elapsed = self._simulation.now - attempt.sent_at
-        self.handle(AttemptFinished(request_id, number, attempt.endpoint, result, elapsed, final))
+        self.handle(AttemptFinished(request_id, number, attempt.endpoint, result, elapsed, is_final))
--- a/rushroad/policy/events.py
+++ b/rushroad/policy/events.py
@@ -69,7 +69,7 @@
     endpoint: str
     result: Result
     elapsed: int
-    final: bool  # the request is over, because of this attempt or already before it
+    is_final: bool  # the request is over, because of this attempt or already before it
     used_percent: int | None = None  # the tenant's use across all gateways, if endpoints meter it
     actual_units: float | None = None
     load_report: tuple[float, ...] = ()  # in the order of Settings.load_report_fields
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -279,16 +279,16 @@
         endpoint = self.endpoints.get(event.endpoint)
         pending = self.pending_requests.get(event.request_id)
         self.load_shedding.attempt_ended(self._now)
-        if event.final or pending is None:
+        if event.is_final or pending is None:
             self.concurrency_quota.release(event.request_id)
         if endpoint is not None:
             self.attempt_result_recorder.record(endpoint, event, pending, self._now)
         if pending is None:
             return
         attempt = pending.in_flight.pop(event.attempt, None)
-        if event.final or not pending.in_flight:  # otherwise a hedged attempt is in flight
+        if event.is_final or not pending.in_flight:  # otherwise a hedged attempt is in flight
             pending.tenant.concurrency.request_closed()
-        if event.final:
+        if event.is_final:
             self._complete(pending, event)
             return
         if attempt is not None and not event.result.proven_not_executed:
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -148,11 +148,11 @@
             request.call.succeed(value)
         self._release_call_id(attempt.in_flight_request)
         elapsed_us = self.clock.now_us() - attempt.started_at_us
-        final = attempt.in_flight_request.finished
+        is_final = attempt.in_flight_request.finished
         units = actual_units if first_response else None
         ids = (attempt.request_id, attempt.number, attempt.endpoint)
         self.post(
-            AttemptFinished(*ids, result, elapsed_us, final, actual_units=units, load_report=load_report)
+            AttemptFinished(*ids, result, elapsed_us, is_final, actual_units=units, load_report=load_report)
         )
 
     def answer_all(self) -> None:
@@ -190,7 +190,7 @@
             actions = []
         for action in actions:
             self._execute(action)
-        if isinstance(event, ClientDisconnected) or (isinstance(event, AttemptFinished) and event.final):
+        if isinstance(event, ClientDisconnected) or (isinstance(event, AttemptFinished) and event.is_final):
             self._requests.pop(event.request_id, None)
 
     def _fail_request_of(self, event: Event) -> None:
--- a/rushroad/simulator/event_records.py
+++ b/rushroad/simulator/event_records.py
@@ -189,7 +189,7 @@
         address,
         status,
         elapsed,
-        final,
+        is_final,
         encoded_used_percent,  # 0: absent; otherwise 1 + percent
         actual_units,  # 0: absent
     ) = reader.read_fields(_COMPLETED_LAYOUT)
@@ -201,7 +201,7 @@
             endpoint_name(address),
             result_from_status(status),
             elapsed,
-            bool(final),
+            bool(is_final),
             encoded_used_percent - 1 if encoded_used_percent else None,
             float(actual_units) if actual_units else None,
             _read_load_report(reader),
--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -40,7 +40,7 @@
             yield CounterAdd(event.id, 1.0, 1_000)
         case CounterReply():
             yield StartAttempt(event.counter_name, "s-1", LONG_TIMEOUT_US)
-        case AttemptFinished(final=False):
+        case AttemptFinished(is_final=False):
             yield SetTimer(0, event.request_id)
         case TimerFired():
             yield StartAttempt(event.token, "s-1", LONG_TIMEOUT_US)
--- a/tests/policy/test_latency.py
+++ b/tests/policy/test_latency.py
@@ -8,7 +8,7 @@
 
 
 def attempt_finished(result: Result, elapsed: int) -> AttemptFinished:
-    return AttemptFinished(1, 0, "10.0.0.1:80", result, elapsed, final=True)
+    return AttemptFinished(1, 0, "10.0.0.1:80", result, elapsed, is_final=True)
 
 
 def test_first_response_sets_the_typical_latency_of_its_class_only() -> None:
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -127,7 +127,7 @@
     request, finished = run_engine_scenario(start_attempt, scenario)
     assert request == Request(1, 0, 0, 0xAB, 2.0, 890_000, 2, 1, False)
     assert isinstance(finished, AttemptFinished)
-    assert (finished.result, finished.final, finished.load_report) == (Result.OK, True, (2.0, 7.0))
+    assert (finished.result, finished.is_final, finished.load_report) == (Result.OK, True, (2.0, 7.0))
 
 
 def test_error_in_the_policy_fails_its_request_and_the_next_is_served(
@@ -272,7 +272,7 @@
 
     events = run_engine_scenario(script, scenario)
     (finished,) = [event for event in events if isinstance(event, AttemptFinished)]
-    assert (finished.result, finished.final) == (Result.NOT_FORWARDED, True)
+    assert (finished.result, finished.is_final) == (Result.NOT_FORWARDED, True)
 
 
 def test_answer_all_answers_every_request_in_flight(run_engine_scenario: RunEngineScenario) -> None:
@@ -348,7 +348,7 @@
     events = run_engine_scenario(script, scenario)
     assert [type(event) for event in events] == [Request, CounterReply, TimerFired, AttemptFinished]
     assert isinstance(events[-1], AttemptFinished)
-    assert (events[-1].result, events[-1].final) == (Result.CANCELLED, False)
+    assert (events[-1].result, events[-1].is_final) == (Result.CANCELLED, False)
 
 
 def test_call_id_stays_in_use_while_an_attempt_is_in_flight(run_engine_scenario: RunEngineScenario) -> None:
--- a/tests/simulator/test_event_records.py
+++ b/tests/simulator/test_event_records.py
@@ -93,7 +93,7 @@
     assert record.instance == 3
     assert repr(record.event) == (
         "AttemptFinished(request_id=1564119492, attempt=0, endpoint='10.18.74.7:5003', "
-        "result=<Result.OK: 'ok'>, elapsed=18500, final=True, used_percent=85, actual_units=3.0, "
+        "result=<Result.OK: 'ok'>, elapsed=18500, is_final=True, used_percent=85, actual_units=3.0, "
         "load_report=(3.0, 7.0))"
     )
 
