--- a/rushroad/policy/load_balancer.py
+++ b/rushroad/policy/load_balancer.py
@@ -44,7 +44,7 @@
         retry_policy: RetryPolicy,
         random: Random,
     ) -> None:
-        self._has_weights = settings.uses_endpoint_weights
+        self._uses_endpoint_weights = settings.uses_endpoint_weights
         self._report_fields = settings.load_report_fields
         self._endpoints = endpoints
         self._limiter = limiter
@@ -115,7 +115,7 @@
         The less is known of an endpoint's load, the larger the random part: gateways without load reports
         must not all choose the same endpoint.
         """
-        weight = max(MIN_WEIGHT, endpoint.entry.weight) if self._has_weights else 1.0
+        weight = max(MIN_WEIGHT, endpoint.entry.weight) if self._uses_endpoint_weights else 1.0
         confidence = math.exp((endpoint.load.updated_at - now) / LOAD_REPORT_TIME_CONSTANT)
         other_load = endpoint.load.requests * confidence + self._mean_load * (1.0 - confidence)
         samples = endpoint.latency.samples
--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -44,8 +44,8 @@
     freezer = EndpointFreezer(loop)
 
     def apply_update(update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
-        is_full = update.kind is not UpdateKind.DELTA
-        upstream.update_endpoints(listed, is_full, update.is_first_part, update.is_last_part)
+        is_snapshot = update.kind is not UpdateKind.DELTA
+        upstream.update_endpoints(listed, is_snapshot, update.is_first_part, update.is_last_part)
         engine.endpoints_updated(update)
         freezer.entries_added(len(listed))
 
@@ -87,9 +87,9 @@
 
     apply_update = _update_handler(engine, upstream, loop)
     version = await retry_transient(lambda: read_cached_endpoints(proxy_settings, memory_limit, apply_update))
-    random_generator = random.Random(configuration.seed)
+    rng = random.Random(configuration.seed)
     discovery = Discovery(
-        configuration.discovery, version, proxy_settings, apply_update, loop, random_generator, memory_limit
+        configuration.discovery, version, proxy_settings, apply_update, loop, rng, memory_limit
     )
     reloads = start_reloads(loop, discovery, counter)
     with suppress(TimeoutError):
