--- a/rushroad/policy/events.py
+++ b/rushroad/policy/events.py
@@ -1,7 +1,8 @@
 """The events that the policy handles.
 
-All timestamps and durations are whole microseconds on one monotonic clock that the gateways of a deployment
-share. Identifiers of requests, endpoints and tenants are opaque.
+All timestamps and durations are whole microseconds. Timestamps are on a monotonic clock that the gateways of
+a deployment share; the policy tolerates a wrong clock (see `clock_skew` and `counter_window`).
+Identifiers of requests, endpoints and tenants are opaque.
 """
 
 from __future__ import annotations
@@ -70,7 +71,7 @@
     result: Result
     elapsed: int
     is_final: bool  # the request is over, because of this attempt or already before it
-    used_percent: int | None = None  # the tenant's use across all gateways, if endpoints meter it
+    used_percent: int | None = None  # the tenant's use across all gateways; None if not metered
     actual_units: float | None = None
     load_report: tuple[float, ...] = ()  # in the order of Settings.load_report_fields
 
@@ -90,7 +91,7 @@
     counter_name: int
     result: Result
     elapsed: int
-    total: float
+    total: float  # after the add; has no meaning unless the result is OK
 
 
 class LateCounterReply(msgspec.Struct, frozen=True, gc=False):
--- a/rushroad/policy/settings.py
+++ b/rushroad/policy/settings.py
@@ -11,7 +11,7 @@
 
 
 class SettingsError(ValueError):
-    """Raised for a missing or invalid setting, which the message names."""
+    """Raised for a missing or invalid setting; the message names its key."""
 
 
 class Idempotency(Enum):
@@ -50,10 +50,10 @@
 
     rate: float = 0.0  # units per second
     burst: float = 0.0  # capacity of the token bucket, in units; the bucket starts full
-    concurrency: int = 0  # attempts in flight at once
-    ceiling_rate: float = 0.0  # hard limit, in units per second
-    ceiling_burst: float = 0.0  # capacity of the hard limit's token bucket, in units
-    ceiling_slack: float = 0.0  # units by which the hard limit's bucket may be overdrawn
+    concurrency: int = 0  # open requests at once, that is, requests with attempts in flight
+    ceiling_rate: float = 0.0  # rate ceiling, a hard limit, in units per second
+    ceiling_burst: float = 0.0  # capacity of the ceiling's token bucket, in units
+    ceiling_slack: float = 0.0  # units by which the ceiling's token bucket may be overdrawn
     weight_multiplier: float = 1.0  # multiplies the priority weight of each request
     overage_weight: float = 0.0  # fraction of its weight that a request forwarded over the quota earns
     overage_cost: float = 0.0  # fraction of its weight that forwarding a request over the quota costs
@@ -108,7 +108,7 @@
     safety: SafetyLimits = SafetyLimits()
     counter: CounterSettings | None = None
     max_units: float = 1.0  # maximum units of one request
-    uses_actual_units: bool = False  # reported by a response, in place of the estimated units of its request
+    uses_actual_units: bool = False  # responses report them; they replace the units estimated by requests
     uses_endpoint_weights: bool = False  # weights in the endpoint list are relative sizes
     polls_endpoints: bool = False  # the endpoint list must be polled
     load_report_fields: tuple[str, ...] = ()  # names of the values in a load report, in order
--- a/rushroad/policy/settings_reader.py
+++ b/rushroad/policy/settings_reader.py
@@ -86,7 +86,7 @@
             raise _wrong_type(self._path_of(key), "an integer", value) from None
 
     def choice(self, key: str, choices: Mapping[str, Choice], default: str | None = None) -> Choice:
-        """Return the choice that the string value of the key stands for."""
+        """Return the choice for the key's string value; a missing key without a default is an error."""
         value = self.required(key) if default is None else self.optional(key, default)
         if not isinstance(value, str) or value not in choices:
             expected = ", ".join(sorted(choices))
@@ -201,24 +201,24 @@
 
 
 def read_proxy_settings(document: Any) -> ProxySettings:
-    """Read the settings that only the proxy needs; raises SettingsError like read_settings."""
+    """Read the settings that only the proxy needs; raises SettingsError as read_settings does."""
     root = _Section(document, "")
     return ProxySettings(
         class_indexes=_index_sections(root.sections("classes")),
         plan_indexes=_index_sections(root.sections("packages")),
-        endpoint_class_indexes=_index_names(root.strings("kinds"), "kinds"),
-        zone_indexes=_index_names(root.strings("areas"), "areas"),
+        endpoint_class_indexes=_index_names(root.strings("kinds"), "each of kinds"),
+        zone_indexes=_index_names(root.strings("areas"), "each of areas"),
         idle_timeout=root.section("limits").integer("connIdleUs"),
     )
 
 
 def _index_sections(sections: list[_Section]) -> dict[str, int]:
-    return _index_names([section.required("name") for section in sections], "name")
+    return _index_names([section.required("name") for section in sections], "the name of a class or package")
 
 
-def _index_names(names: Sequence[str], key: str) -> dict[str, int]:
-    """Return the index of each name."""
+def _index_names(names: Sequence[str], subject: str) -> dict[str, int]:
+    """Return the index of each name; `subject` says in an error message what must be a string."""
     try:
         return {name: index for index, name in enumerate(names)}
     except TypeError:  # not hashable
-        raise SettingsError(f"settings have a value of the wrong type: {key} must be a string") from None
+        raise SettingsError(f"settings have a value of the wrong type: {subject} must be a string") from None
