--- a/rushroad/policy/admission.py
+++ b/rushroad/policy/admission.py
@@ -10,6 +10,6 @@
 
     ADMIT = auto()
     WAIT_FOR_COUNTER = auto()
-    REJECT_OVER_QUOTA = auto()  # by the shared total, or known without a call to the counter
-    REJECT_OVER_ESTIMATE = auto()  # by this gateway's estimate, without a shared total
+    REJECT_OVER_QUOTA = auto()  # by the tenant's total, or known without a call to the counter
+    REJECT_OVER_ESTIMATE = auto()  # by this gateway's estimate, without a total
     REJECT_OVER_CONCURRENCY = auto()
--- a/rushroad/policy/client_retries.py
+++ b/rushroad/policy/client_retries.py
@@ -6,7 +6,7 @@
 from rushroad.policy.settings import RequestClass, Settings
 
 MATCH_TOLERANCE = 0.01  # fraction of the class's deadline
-MAX_LATE_WEIGHT = 0.5  # classes with at least this late weight are worth serving after their objective
+WORTHWHILE_LATE_WEIGHT = 0.5  # from which a class's requests are worth serving after their objective
 
 
 class TypicalTimeout:
@@ -39,15 +39,16 @@
         self._typical_timeouts = [TypicalTimeout() for _ in settings.request_classes]
 
     def time_since_first_try(self, request: Request, request_class: RequestClass, is_overloaded: bool) -> int:
-        """Return the estimated time since the first try; 0 without overload or if this is no retry.
+        """Return the estimated time since the first try; 0 if this is no retry.
 
-        First tries with a short timeout look like retries as well. Detection is limited to overload, where
-        serving them would deny service to others.
+        Also 0 without overload, and for classes that are worth serving after their objective. First tries
+        with a short timeout look like retries as well, so detection is limited to overload, where serving
+        such requests would deny service to others.
         """
         typical_timeout = self._typical_timeouts[request.class_index]
         distance = abs(request.time_remaining - typical_timeout.value)
         matches = distance <= MATCH_TOLERANCE * request_class.deadline
         typical_timeout.vote(request.time_remaining, matches)
-        if matches or not is_overloaded or request_class.late_weight >= MAX_LATE_WEIGHT:
+        if matches or not is_overloaded or request_class.late_weight >= WORTHWHILE_LATE_WEIGHT:
             return 0
         return request_class.deadline - request.time_remaining
--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -21,7 +21,7 @@
 from rushroad.policy.time_units import SECOND
 from rushroad.policy.timers import CounterWaitExpired, Timers
 
-SLOT_LIFETIME = 8 * SECOND  # a slot whose return was lost is free again after this time
+SLOT_LIFETIME = 8 * SECOND  # of the total of slots; a slot whose return was lost is free again when it ends
 FULL_BACKOFF_FRACTION = 0.5  # of the mean time to a free slot; requests are rejected that long without a call
 SLOT_ROUNDING_MARGIN = 0.5  # slots; totals are floating-point numbers
 
@@ -72,8 +72,8 @@
         if self._random.random() >= self._breaker.call_share:
             return self.decide_by_local_share(pending)
         self._call(pending.tenant, 1.0, pending.request.id)
-        if self._counter.timeout > pending.counter_wait:
-            self._timers.start(pending.counter_wait, CounterWaitExpired(pending.request.id))
+        if self._counter.timeout > pending.max_counter_wait:
+            self._timers.start(pending.max_counter_wait, CounterWaitExpired(pending.request.id))
         return Admission.WAIT_FOR_COUNTER
 
     def decide_by_local_share(self, pending: PendingRequest) -> Admission:
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -4,10 +4,11 @@
 
 arrival  `load_shedding` rejects the request if capacity is short; `quota` or `concurrency_quota` admits it by
          the total on the shared counter, which `counter_breaker` protects; `rate_ceiling` enforces the hard
-         limit.
+         limit on the tenant's rate.
 attempt  `load_balancer` chooses among the `active_endpoints` that `outlier_detection`, `slow_start` and
          `concurrency_limit` permit; `retry_policy` sets the timeout.
-result   `latency`, `throughput` and these components update their state; `retry_policy` decides on a retry.
+result   `latency`, `throughput` and the components of an attempt update their state; `retry_policy` decides
+         on a retry.
 answer   Each request gets one final answer, which is a rejection only if the client may safely retry.
 
 All timestamps and durations are whole microseconds.
@@ -60,7 +61,7 @@
     WatchRetryDue,
 )
 
-INITIAL_FAILURE_AGE = 60 * SECOND  # before the start; older than any call to the counter
+INITIAL_FAILURE_AGE = 60 * SECOND  # the counter breaker starts as if a call had last failed this long ago
 
 
 class Gateway:
@@ -172,7 +173,7 @@
             self._apply_admission(self.concurrency_quota.decide(pending, self._now), pending)
 
     def _track(self, request: Request) -> PendingRequest:
-        """Create the state of a new request."""
+        """Create the state of a new request, which lasts until its final answer."""
         request_class = self._settings.request_classes[request.class_index]
         plan = self._settings.plans[request.plan_index]
         tenant = self.tenants.refresh(request, plan, self._now)
@@ -192,7 +193,7 @@
 
     def _can_be_served(self, pending: PendingRequest) -> bool:
         """Whether time, hard limits and capacity allow a request, regardless of its quota."""
-        usable_time = min(pending.counter_wait, pending.objective_at - self._now)
+        usable_time = min(pending.max_counter_wait, pending.objective_at - self._now)
         if usable_time <= self._settings.tick or not self.quota.is_within_hard_limits(pending):
             return False
         deficit = self.load_shedding.priority_deficit(pending)
--- a/rushroad/policy/pending_request.py
+++ b/rushroad/policy/pending_request.py
@@ -11,7 +11,8 @@
 if TYPE_CHECKING:
     from rushroad.policy.active_endpoints import ActiveEndpoint
 
-COUNTER_WAIT_FRACTION = 0.1  # of the latency objective that a request may wait for its counter total
+# Of the latency objective: the longest wait for a total, and the response time assumed while none is known.
+COUNTER_WAIT_FRACTION = 0.1
 
 
 class InFlightAttempt:
@@ -41,10 +42,10 @@
         "attempt_count",
         "awaiting_admission",
         "counted_units",
-        "counter_wait",
         "deadline",
         "in_flight",
         "is_likely_over_quota",
+        "max_counter_wait",
         "objective_at",
         "plan",
         "possible_executions",
@@ -62,16 +63,17 @@
         self.plan = plan
         self.tenant = tenant
         self.deadline = now + request.time_remaining
+        # When the latency objective passes; earlier if the client has probably tried before.
         self.objective_at = now + min(request_class.latency_objective, request.time_remaining)
-        max_wait = int(request_class.latency_objective * COUNTER_WAIT_FRACTION)
-        self.counter_wait = min(max_wait, request.time_remaining // 2)
+        objective_share = int(request_class.latency_objective * COUNTER_WAIT_FRACTION)
+        self.max_counter_wait = min(objective_share, request.time_remaining // 2)
         self.attempt_count = 0
         self.in_flight: dict[int, InFlightAttempt] = {}  # by attempt number
         self.possible_executions: list[PossibleExecution] = []
         self.awaiting_admission = True
-        self.counted_units = 0.0  # added to the counter for this request, or to be added
-        self.rejection_probability = 0.0  # estimated from the tenant's recent totals
-        self.is_likely_over_quota = False  # judged by that probability
+        self.counted_units = 0.0  # added to the tenant's total for this request, or to be added
+        self.rejection_probability = 0.0  # estimated from recent decisions by totals
+        self.is_likely_over_quota = False  # by that probability, and by the plan's overage weight and cost
 
     @property
     def is_safe_to_retry(self) -> bool:
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -81,8 +81,8 @@
             sampled = self.samples_requests and not pending.is_likely_over_quota
             pending.counted_units = pending.request.units / share if sampled else pending.request.units
             self._call(pending, pending.request.id, pending.counted_units, now)
-            if self._counter is not None and self._counter.timeout > pending.counter_wait:
-                self._timers.start(pending.counter_wait, CounterWaitExpired(pending.request.id))
+            if self._counter is not None and self._counter.timeout > pending.max_counter_wait:
+                self._timers.start(pending.max_counter_wait, CounterWaitExpired(pending.request.id))
             return Admission.WAIT_FOR_COUNTER
         if pending.is_likely_over_quota:
             return Admission.REJECT_OVER_QUOTA
--- a/rushroad/policy/timers.py
+++ b/rushroad/policy/timers.py
@@ -1,4 +1,4 @@
-"""The timers that the policy has set, each with a typed purpose. All durations are whole microseconds."""
+"""The timers that the policy has set, and what each is for. All durations are whole microseconds."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptCheckDue(msgspec.Struct, frozen=True, gc=False):
-    """An attempt has used up its share of the time; its endpoint may be silent."""
+    """An attempt has taken its share of the time to the latency objective; its endpoint may be silent."""
 
     request_id: int
     attempt: int
@@ -30,14 +30,14 @@
 
 
 class SubsetReviewDue:
-    """The next part of the endpoint list is due for a review of the subset."""
+    """The next batch of the endpoint list is due for review after a change of the subset size."""
 
 
 TimerPurpose: TypeAlias = CounterWaitExpired | AttemptCheckDue | WatchRetryDue | SubsetReviewDue
 
 WATCH_RETRY: Final = WatchRetryDue()
 SUBSET_REVIEW: Final = SubsetReviewDue()
-# A purpose with at most one timer has a fixed token; the timers of requests are numbered from 1.
+# A purpose with at most one timer at a time has a fixed token; tokens of request timers count up from 1.
 FIXED_TOKENS: dict[WatchRetryDue | SubsetReviewDue, int] = {WATCH_RETRY: 0, SUBSET_REVIEW: TOKEN_MASK}
 FIXED_PURPOSES = {token: purpose for purpose, token in FIXED_TOKENS.items()}
 
@@ -61,7 +61,7 @@
         self._outbox.add(SetTimer(delay, self._last_token))
 
     def start_single(self, delay: int, purpose: WatchRetryDue | SubsetReviewDue) -> None:
-        """Set the only timer of this purpose."""
+        """Set the timer of a purpose that has at most one at a time."""
         self._outbox.add(SetTimer(delay, FIXED_TOKENS[purpose]))
 
     def take_purpose(self, token: int) -> TimerPurpose | None:
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -1,4 +1,4 @@
-"""Tests for the way of a request through the components of the policy."""
+"""Tests for the path of a request through the components of the policy."""
 
 from rushroad.policy.events import Result, UpdateKind
 from tests.support.gateway_driver import NOT_IDEMPOTENT, SECOND, TENANT, Driver, action_names
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -1,4 +1,4 @@
-"""Property-based tests of the five rules: actions are checked over random events and settings."""
+"""Property-based tests: over random events and settings, no action breaks a rule of `RuleChecker`."""
 
 from dataclasses import replace
 
@@ -99,7 +99,7 @@
 
 
 def time_out_counter_calls(driver: Driver) -> None:
-    """Let time pass, at most the counter's timeout, and end all calls without a reply as timed out."""
+    """Let up to the counter's timeout pass, and end all calls without a reply as timed out."""
     if driver.counter_calls and driver.settings.counter is not None:
         driver.wait(min(driver.settings.counter.timeout, 8 * MS))
         while driver.counter_calls:
--- a/tests/policy/test_timers.py
+++ b/tests/policy/test_timers.py
@@ -7,7 +7,7 @@
 
 
 def test_counter_timer_of_an_admitted_request_cancels_no_attempt() -> None:
-    # A request that waits for less than the counter's timeout sets a timer for its total. The timer fires
+    # A request that waits for less than the counter's timeout sets a timer for this wait. The timer fires
     # soon after the attempt has started and must not cancel an attempt that has no response yet.
     driver = Driver(settings=replace(SETTINGS, counter=CounterSettings(timeout=400 * MS)))
     for class_index in (IDEMPOTENT, NOT_IDEMPOTENT):
