--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -21,13 +21,13 @@
 from rushroad.policy.time_units import SECOND
 from rushroad.policy.timers import CounterWaitExpired, Timers
 
-SLOT_LIFETIME = 8 * SECOND  # of the total of slots; a slot whose return was lost is free again when it ends
+SLOT_LIFETIME = 8 * SECOND  # of the total; a slot whose return was lost is free again when it expires
 FULL_BACKOFF_FRACTION = 0.5  # of the mean time to a free slot; requests are rejected that long without a call
 SLOT_ROUNDING_MARGIN = 0.5  # slots; totals are floating-point numbers
 
 
 def within_local_share(pending: PendingRequest, has_counter: bool) -> bool:
-    """Whether this gateway's share of the limit has a free slot, for plans without slots on the counter."""
+    """Whether this gateway's share of the limit admits a request; True if the counter holds the slots."""
     if not pending.plan.concurrency or (pending.plan.rate <= 0 and has_counter):
         return True
     return _has_local_slot(pending)
@@ -103,8 +103,8 @@
         if reply.total <= plan.concurrency + SLOT_ROUNDING_MARGIN:
             return Admission.ADMIT
         objective = pending.request_class.latency_objective
-        typical = self._latency.typical(pending.request.class_index) or COUNTER_WAIT_FRACTION * objective
-        pending.tenant.concurrency.full_until = now + int(FULL_BACKOFF_FRACTION * typical / plan.concurrency)
+        latency = self._latency.typical(pending.request.class_index) or COUNTER_WAIT_FRACTION * objective
+        pending.tenant.concurrency.full_until = now + int(FULL_BACKOFF_FRACTION * latency / plan.concurrency)
         return Admission.REJECT_OVER_CONCURRENCY
 
     def release(self, request_id: int) -> None:
--- a/rushroad/policy/counter_breaker.py
+++ b/rushroad/policy/counter_breaker.py
@@ -10,7 +10,7 @@
 
 FAILURE_THRESHOLD = 3  # consecutive failed calls that open the breaker; one or two may be chance
 TRIAL_INTERVAL_TIMEOUTS = 4  # counter timeouts between trial calls while the breaker is open
-SHARE_DECREASE_FACTOR = 0.7  # on the call share after a call that found the counter overloaded
+SHARE_DECREASE_FACTOR = 0.7  # of the call share, after a call that found the counter overloaded
 SHARE_INCREMENT = 0.02  # added to the call share by a prompt reply
 PROMPT_REPLY_FRACTION = 0.5  # of the counter's timeout; slower replies do not raise the call share
 MIN_CALL_SHARE = 0.1  # kept so that a recovery of the counter is noticed soon
@@ -24,9 +24,9 @@
     """
 
     def __init__(self, settings: CounterSettings | None, now: int, last_failure_at: int) -> None:
-        """Start closed; `last_failure_at` is a time before the first call."""
+        """Start closed; `last_failure_at` may be any time before the first call."""
         self._timeout = settings.timeout if settings is not None else 0
-        self.consecutive_failures = 0  # each of a call made after the previous one had failed
+        self.consecutive_failures = 0  # without those of calls made before the previous failure
         self._last_failure_at = last_failure_at
         self.next_trial_at = now
         self.call_share = 1.0  # fraction of the requests that may call the counter
--- a/rushroad/policy/counter_window.py
+++ b/rushroad/policy/counter_window.py
@@ -1,7 +1,7 @@
 """A named total on the shared counter, whose lifetime there is one window of a tenant's quota.
 
-A name expires a given time after the first add to it, and only that ends a window. The gateway that adds
-first requests a lifetime up to the next window boundary by its own clock, and expects the window to end at
+A name expires a given time after the first add to it, and only that ends a window. The gateway that makes
+this add requests a lifetime up to the next window boundary by its own clock, and expects the window to end at
 that boundary. Where clocks agree, every gateway knows when windows begin. Where a clock is wrong, the name
 is still the same, but may expire at another time than expected, which shows as a total that is too low.
 
@@ -12,8 +12,9 @@
 
 from typing import NamedTuple
 
-MIN_CONTINUED_FRACTION = 0.6  # of the previous total plus the own add; others subtract less than the rest
-ROUNDING_MARGIN = 0.5  # of totals, in their unit; totals that should be equal differ by less
+# Of the previous total plus the own add. A lower total is that of a new window: others subtract less.
+MIN_CONTINUED_FRACTION = 0.6
+ROUNDING_MARGIN = 0.5  # units or slots; totals that should be equal differ by less
 
 
 class TotalChange(NamedTuple):
@@ -24,7 +25,7 @@
 
 
 class CounterWindow:
-    """What this gateway knows of one such total."""
+    """What this gateway knows of one named total."""
 
     __slots__ = (
         "_boundary_offset",
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -24,7 +24,7 @@
 NEAR_LIMIT_REFILLS = 2.0  # refills of the burst for which a tenant counts as near its limit
 MIN_RESERVE_FRACTION = 0.5  # of the largest request; every class leaves this free near the limit
 CALLS_PER_ADMISSION = 2.0  # counter calls for requests over the quota, per expected admission
-REJECTION_SMOOTHING = 0.03  # weight of a decision in the moving average of a plan's rejection rate
+REJECTION_SMOOTHING = 0.03  # weight of a new decision in the moving average of a plan's rejection rate
 
 
 class Quota:
@@ -39,23 +39,24 @@
         self._calls = calls
         self._timers = timers
         self._random = random
-        self._rejection_rates = [0.0 for _ in settings.plans]  # of decisions made by totals, by plan
+        self._rejection_rates = [0.0 for _ in settings.plans]  # fraction of decisions by totals, by plan
         self._max_weight = max(c.priority_weight for c in settings.request_classes)
-        # In a large fleet a tenant may not return here: each call also adds units of requests without one.
+        # True in a large fleet, where a tenant may never come back to this gateway: each call then also adds
+        # the units of the requests without a call that it stands for.
         self.samples_requests = False
 
     def estimate_rejection(self, pending: PendingRequest) -> None:
-        """Set how likely a request is to be rejected, and whether it counts as over the quota by that."""
+        """Set how likely a request is to be rejected, and whether it therefore counts as over the quota."""
         plan, usage = pending.plan, pending.tenant.usage
         rejections = usage.rejections + self._rejection_rates[pending.request.plan_index]
         pending.rejection_probability = rejections / (usage.decisions + 1.0)
         # If admitted without a total, it earns its weight within the quota, and beyond it the overage weight
-        # less the overage cost. It is over the quota where the expected value is not positive.
+        # less the overage cost. It counts as over the quota where the expected value is not positive.
         overage_loss = 1.0 + plan.overage_cost - plan.overage_weight
         pending.is_likely_over_quota = pending.rejection_probability * overage_loss >= 1.0
 
     def is_within_hard_limits(self, pending: PendingRequest) -> bool:
-        """Whether this gateway's share of the hard limits allows a request, whatever the total."""
+        """Whether this gateway's shares of the concurrency limit and the rate ceiling allow a request."""
         if not within_local_share(pending, self._counter is not None):
             return False
         return pending.tenant.ceiling.allows(pending.plan, pending.request.units)
@@ -117,8 +118,8 @@
         usage, plan = pending.tenant.usage, pending.plan
         reserve = 0.0
         if now - usage.near_limit_at < NEAR_LIMIT_REFILLS * plan.burst / plan.rate * SECOND:
-            weight = pending.request_class.priority_weight / self._max_weight
-            reserve = (MIN_RESERVE_FRACTION + 1.0 - weight) * self._settings.max_units
+            relative_weight = pending.request_class.priority_weight / self._max_weight
+            reserve = (MIN_RESERVE_FRACTION + 1.0 - relative_weight) * self._settings.max_units
         fits = usage.fits(units, pending.request.entry_point_count, reserve, disregarded)
         if not fits:
             usage.near_limit_at = now
@@ -127,10 +128,11 @@
     def decide_by_estimate(self, pending: PendingRequest, now: int) -> Admission:
         """Decide without a total; the next one replaces the estimate of the others' use.
 
-        While the counter is unavailable, each other gateway is assumed to admit as much as this one; else the
-        others as much as totals have shown, unless the counter was called for this request. This keeps many
-        gateways from admitting a burst each, but rejects too much where a tenant uses this gateway more often
-        than before.
+        The others are assumed to admit units at the same time. While the counter is unavailable, each of them
+        admits as much as this gateway; otherwise all together admit in the ratio to this gateway's units that
+        totals have shown, or nothing if the counter was called for this request or calls are sampled. This
+        keeps many gateways from admitting a burst each, but rejects too much where a tenant uses this gateway
+        more often than before.
         """
         usage, units, others = pending.tenant.usage, pending.request.units, 0.0
         if self._breaker.is_open or self._counter is None:
@@ -177,15 +179,15 @@
         rejected = not self._fits(pending, pending.request.units, now)
         usage.decisions += 1.0
         usage.rejections += rejected
-        rate = self._rejection_rates[plan_index]
-        self._rejection_rates[plan_index] = rate + REJECTION_SMOOTHING * (rejected - rate)
+        rejection_rate = self._rejection_rates[plan_index]
+        self._rejection_rates[plan_index] = rejection_rate + REJECTION_SMOOTHING * (rejected - rejection_rate)
         if rejected or not self.is_within_hard_limits(pending):
             return Admission.REJECT_OVER_QUOTA
         usage.used += pending.request.units
         return Admission.ADMIT
 
     def return_counted_units(self, pending: PendingRequest, now: int) -> None:
-        """Subtract the units of a request that was never forwarded from the tenant's total.
+        """Subtract from the tenant's total the units counted for a request that was never forwarded.
 
         While the counter is unavailable or overloaded, the next call for the tenant does this.
         """
@@ -211,7 +213,10 @@
             usage.unreported += units * pending.counted_units / pending.request.units
 
     def retry_after(self, pending: PendingRequest) -> int:
-        """Return the time until the request may fit: at least one unit's refill, at most a window."""
+        """Return the time until the request may fit: at least one unit's refill, at most a window.
+
+        For a plan without a rate, it is the latency objective. No time exceeds the maximum in the settings.
+        """
         plan, limit = pending.plan, self._settings.limits.max_retry_after
         if plan.rate <= 0:
             return min(limit, pending.request_class.latency_objective)
--- a/rushroad/policy/rate_ceiling.py
+++ b/rushroad/policy/rate_ceiling.py
@@ -10,7 +10,7 @@
 
 
 class RateCeiling:
-    """One tenant's token bucket at this gateway: the ceiling divided by the tenant's entry points."""
+    """One tenant's token bucket at this gateway: its share of the ceiling, equal at all entry points."""
 
     __slots__ = ("_updated_at", "available_units")
 
--- a/rushroad/policy/tenant_usage.py
+++ b/rushroad/policy/tenant_usage.py
@@ -1,6 +1,7 @@
 """What this gateway knows of a tenant's use of its quota.
 
-Amounts are in units, times and spans in whole microseconds.
+Amounts are in units, times and spans in whole microseconds. A window is the lifetime of the tenant's total on
+the shared counter; `counter_window` says how it begins and ends.
 """
 
 from __future__ import annotations
@@ -11,11 +12,12 @@
 from rushroad.policy.settings import Plan
 from rushroad.policy.time_units import SECOND
 
-BURSTS_PER_WINDOW = 2.0  # bursts refilled in a window; each window boundary may admit one more burst
-MAX_WINDOW = 30 * SECOND  # half of the longest time that the counter keeps a name
-REFILL_CREDIT_FRACTION = 1.0 - 1.0 / BURSTS_PER_WINDOW  # of the refill; a new window's burst is the rest
-MAX_MARGIN_FRACTION = 0.5  # of the burst, kept free for use that other gateways have not reported yet
-PRIOR_UNITS = 2.0  # weight of the prior that all gateways admit equally, in own units of totals
+BURSTS_PER_WINDOW = 2.0  # bursts refilled in a window; at its boundary one more may be admitted
+MAX_WINDOW = 30 * SECOND  # half of the longest time that the counter keeps a total
+# Fraction of the unused refill that is credited against others' use; the rest is a new window's burst.
+REFILL_CREDIT_FRACTION = 1.0 - 1.0 / BURSTS_PER_WINDOW
+MAX_MARGIN_FRACTION = 0.5  # of the burst, kept free for units that other gateways have not reported yet
+PRIOR_UNITS = 2.0  # weight of the prior that all gateways admit equally, as own units in totals
 DECISION_DECAY_REFILLS = 8.0  # time constant of the decay of decision counts, in refills of the burst
 USAGE_SMOOTHING = 0.2  # weight of a new value in the moving averages of a tenant's units
 
@@ -53,7 +55,7 @@
     def __init__(self, plan: Plan, window: CounterWindow, now: int) -> None:
         self._burst, self._rate = plan.burst, plan.rate
         self.used, self.updated_at = 0.0, now  # taken from the burst and not refilled yet
-        self._unused_refill = 0.0  # refill since the last total in excess of the use
+        self._unused_refill = 0.0  # units refilled since the last total beyond the use
         self.window = window
         self.decisions, self.rejections = 0.0, 0.0  # decaying counts of decisions by totals
         self._overage = 0.0  # units in the window's totals beyond the burst
@@ -81,7 +83,7 @@
         self.used, self.updated_at = max(0.0, self.used - refilled), now
 
     def restart_window_if_expired(self, now: int) -> None:
-        """Start a new window if the name must have expired on the counter by now."""
+        """Start a new window if the total must have expired on the counter by now."""
         if self.window.restart_if_expired(now):
             self._reset_window()
 
@@ -91,7 +93,7 @@
         self.unreported = max(0.0, self.unreported)  # the new total never included what would be subtracted
 
     def take_unreported(self) -> float:
-        """Return the unreported units for the next call; what has been refilled since needs no report."""
+        """Return the unreported units for the next call; those refilled since need no report."""
         units, self.unreported = min(self.unreported, self.used), 0.0
         return units
 
@@ -149,8 +151,8 @@
     def _apply_others_use(self, units: float) -> None:
         """Add the others' use; a negative amount is returned units, which reduce the overage first.
 
-        Use beyond the burst is kept apart as overage, or the use would stay too high for as long as the
-        tenant requests all that is refilled.
+        Use beyond the burst is kept apart as overage. Otherwise the use would stay too high for as long as
+        the tenant requests all that is refilled.
         """
         returned = min(self._overage, max(0.0, -units))
         used = max(0.0, self.used + units + returned)
@@ -172,7 +174,7 @@
     def others_to_own_ratio(self, entry_point_count: int) -> float:
         """Return the units that others admit for each unit admitted here.
 
-        It is taken from totals; as long as these show little, every gateway is assumed to admit as much.
+        It is taken from totals; while these show few units, every gateway is assumed to admit as much.
         """
         others = max(0.0, self._observed_others) + PRIOR_UNITS * max(0, entry_point_count - 1)
         return others / (max(0.0, self._observed_own) + PRIOR_UNITS)
