--- a/tests/policy/test_concurrency_quota.py
+++ b/tests/policy/test_concurrency_quota.py
@@ -1,16 +1,12 @@
-"""The limit on a tenant's open requests."""
+"""The limit on a tenant's open requests, by slots on the shared counter and by this gateway's share."""
 
 from dataclasses import replace
 
 import pytest
 
 from rushroad.policy.actions import CounterAdd
-from rushroad.policy.events import (
-    Result,
-)
-from rushroad.policy.settings import (
-    Plan,
-)
+from rushroad.policy.events import Result
+from rushroad.policy.settings import Plan
 from tests.support.gateway_driver import (
     NOT_IDEMPOTENT,
     SECOND,
--- a/tests/policy/test_counter_breaker.py
+++ b/tests/policy/test_counter_breaker.py
@@ -2,12 +2,7 @@
 
 from rushroad.policy.actions import CounterAdd
 from rushroad.policy.events import Result
-from tests.support.gateway_driver import (
-    MS,
-    SECOND,
-    Driver,
-    action_names,
-)
+from tests.support.gateway_driver import MS, SECOND, Driver, action_names
 from tests.support.policy_scenarios import LARGE_FLEET, overload_counter, reply_to_oldest_call
 
 
@@ -52,7 +47,7 @@
         driver.finish_all()
 
 
-def test_late_and_rejected_calls_lower_the_call_share() -> None:
+def test_timed_out_and_rejected_calls_lower_the_call_share() -> None:
     for result in (Result.TIMEOUT, Result.OVERLOADED):
         driver = Driver()
         for tenant in range(40):
--- a/tests/policy/test_counter_window.py
+++ b/tests/policy/test_counter_window.py
@@ -9,8 +9,8 @@
 from tests.support.gateway_driver import MS, SECOND, START, CounterTotals
 
 LENGTH, MAX_CALL_DELAY = 8 * SECOND, 80 * MS
-NAME = 7
-BOUNDARY = START - START % LENGTH + LENGTH  # of windows, by an accurate clock
+COUNTER_NAME = 7
+BOUNDARY = START - START % LENGTH + LENGTH  # first window boundary after START, by an accurate clock
 
 
 def counter_window(now: int) -> CounterWindow:
@@ -51,19 +51,21 @@
 
 
 @pytest.mark.parametrize("clock_step", [0, 3 * SECOND, -3 * SECOND, 3_601 * SECOND])
-@pytest.mark.parametrize("mean_pause", [0.05, 0.4, 2.0])
-def test_adds_of_others_are_seen_where_one_of_two_clocks_is_wrong(mean_pause: float, clock_step: int) -> None:
+@pytest.mark.parametrize("mean_pause_s", [0.05, 0.4, 2.0])
+def test_adds_of_others_are_seen_where_one_of_two_clocks_is_wrong(
+    mean_pause_s: float, clock_step: int
+) -> None:
     random, totals, now = Random(1), CounterTotals(), BOUNDARY
     windows, clock_steps = [counter_window(now), counter_window(now + clock_step)], [0, clock_step]
     seen, added = [0.0, 0.0], [0.0, 0.0]
-    for _ in range(int(400 / mean_pause)):
-        now += int(random.expovariate(1 / mean_pause) * SECOND)
+    for _ in range(int(400 / mean_pause_s)):
+        now += int(random.expovariate(1 / mean_pause_s) * SECOND)
         gateway = random.randrange(2)
         window, local_time = windows[gateway], now + clock_steps[gateway]
         window.restart_if_expired(local_time)
-        total = totals.add(CounterAdd(NAME, 1.0, window.lifetime(local_time)), now)
+        total = totals.add(CounterAdd(COUNTER_NAME, 1.0, window.lifetime(local_time)), now)
         seen[gateway] += window.apply_total(1.0, total, local_time).added_by_others
         added[gateway] += 1.0
     for gateway in (0, 1):
         # What is added between a gateway's last total in a window and the window's end is not seen.
-        assert seen[gateway] >= added[1 - gateway] - 2.0 * totals.created_count / max(1.0, mean_pause)
+        assert seen[gateway] >= added[1 - gateway] - 2.0 * totals.created_count / max(1.0, mean_pause_s)
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -1,4 +1,4 @@
-"""Admission by units, by totals on the shared counter and by the local estimate."""
+"""Admission by the quota of units: by totals on the shared counter, and by this gateway's estimate."""
 
 from dataclasses import replace
 from random import Random
@@ -7,11 +7,7 @@
 from msgspec import structs
 
 from rushroad.policy.actions import CounterAdd, Reject, StartAttempt
-from rushroad.policy.events import (
-    AttemptFinished,
-    EndpointState,
-    Result,
-)
+from rushroad.policy.events import AttemptFinished, EndpointState, Result
 from tests.support.gateway_driver import (
     MS,
     NOT_IDEMPOTENT,
@@ -108,14 +104,14 @@
     assert 8 <= admitted <= 16
 
 
-def test_flushed_counter_does_not_grant_the_burst_again() -> None:
+def test_restarted_counter_does_not_grant_the_burst_again() -> None:
     driver = Driver()
     for total in range(1, 8):
         driver.request()
         assert action_names(driver.counter_reply(float(total))) == ["StartAttempt"]
         driver.finish_all()
     admitted = []
-    for total in range(1, 4):  # the counter has restarted; the gateway keeps its state
+    for total in range(1, 4):  # the counter has lost its totals; the gateway keeps its state
         driver.request()
         while driver.counter_calls:
             admitted += action_names(driver.counter_reply(float(total)))
@@ -130,7 +126,7 @@
     driver.wait(20 * MS)
 
 
-def test_even_share_decides_without_a_counter() -> None:
+def test_local_share_of_the_quota_applies_without_a_counter() -> None:
     driver = Driver(replace(SETTINGS, counter=None))
     for _ in range(20):
         driver.request(entry_point_count=4)
@@ -138,7 +134,7 @@
     assert action_names(driver.actions).count("StartAttempt") == 2
 
 
-def test_single_lost_reply_does_not_limit_a_tenant_to_the_even_share() -> None:
+def test_single_lost_reply_does_not_limit_a_tenant_to_the_local_share() -> None:
     driver = Driver()
     for _ in range(2):
         driver.request(entry_point_count=8)
@@ -236,8 +232,8 @@
 
 def test_total_replaces_the_estimate_of_others_use() -> None:
     driver = Driver()
-    driver.gateway.counter_breaker.call_share = 1e-9
-    assert action_names(driver.request(entry_point_count=4)) == ["StartAttempt"]  # charged as 4 units
+    driver.gateway.counter_breaker.call_share = 1e-9  # practically no calls
+    assert action_names(driver.request(entry_point_count=4)) == ["StartAttempt"]  # estimated as 4 units used
     driver.gateway.counter_breaker.call_share = 1.0
     for units, total in ((4.0, 5.0), (2.0, 7.0)):  # others used nothing
         driver.request(units=units, entry_point_count=4)
@@ -403,7 +399,7 @@
     driver = Driver(replace(LARGE_FLEET, fleet_size=40), endpoint_count=60)
     driver.request(entry_point_count=30)
     assert reply_to_oldest_call(driver, 1.0) == ["StartAttempt"]
-    driver.wait(6 * SECOND)  # others used eight of the twelve units that were refilled meanwhile
+    driver.wait(6 * SECOND)  # others use eight of the twelve units that are refilled meanwhile
     driver.request(entry_point_count=30)
     assert reply_to_oldest_call(driver, 10.0) == ["StartAttempt"]
 
@@ -412,21 +408,21 @@
     """The tenant requests four times its rate of 2 units a second through 30 gateways for two minutes."""
     admitted = refilled = 0.0
     for seed in range(4):
-        random, now, totals = Random(seed), 0.0, CounterTotals()
+        random, elapsed_s, totals = Random(seed), 0.0, CounterTotals()
         gateways = [
             Driver(replace(LARGE_FLEET, fleet_size=40, gateway_index=n), endpoint_count=60, seed=n)
             for n in range(30)
         ]
         for _ in range(500):
-            now += random.expovariate(4.0)
+            elapsed_s += random.expovariate(4.0)
             driver = gateways[random.randrange(30)]
-            driver.now = START + int(now * SECOND)
+            driver.now = START + int(elapsed_s * SECOND)
             driver.request(units=2.0, entry_point_count=30)
             while driver.counter_calls:
                 total = totals.add(driver.counter_calls[0], driver.now)
                 admitted += 2.0 * action_names(driver.counter_reply(total)).count("StartAttempt")
             driver.finish_all()
-        refilled += 2.0 * now
+        refilled += 2.0 * elapsed_s
     assert 0.9 * refilled < admitted < 1.05 * refilled
 
 
--- a/tests/policy/test_rate_ceiling.py
+++ b/tests/policy/test_rate_ceiling.py
@@ -1,13 +1,6 @@
 """The rate ceiling, the hard limit on a tenant's rate."""
 
-from tests.support.gateway_driver import (
-    CEILING_PLAN,
-    NOT_IDEMPOTENT,
-    SECOND,
-    TENANT,
-    Driver,
-    action_names,
-)
+from tests.support.gateway_driver import CEILING_PLAN, NOT_IDEMPOTENT, SECOND, TENANT, Driver, action_names
 from tests.support.policy_scenarios import LARGE_FLEET
 
 
--- a/tests/policy/test_tenants.py
+++ b/tests/policy/test_tenants.py
@@ -1,9 +1,6 @@
 """Eviction from the table of tenants."""
 
-from tests.support.gateway_driver import (
-    MS,
-    Driver,
-)
+from tests.support.gateway_driver import MS, Driver
 
 
 def test_tenants_with_a_single_request_are_evicted_when_idle() -> None:
