--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -193,11 +193,11 @@
         """
         if not pending.counted_units:
             return
-        units = -pending.request.units * (pending.counted_units / pending.request.units)
+        subtraction = -pending.request.units * (pending.counted_units / pending.request.units)
         if not self._breaker.is_overloaded and not self._breaker.is_open:
-            self._call(pending, None, units, now)
+            self._call(pending, None, subtraction, now)
         else:
-            pending.tenant.usage.unreported += units
+            pending.tenant.usage.unreported += subtraction
 
     def undo_admission(self, pending: PendingRequest) -> None:
         """Undo the local count of an admitted request that is not forwarded after all."""
@@ -207,10 +207,10 @@
     def correct_units(self, pending: PendingRequest, actual_units: float) -> None:
         """Correct the units of a request to the actual ones; the next call corrects the total."""
         usage = pending.tenant.usage
-        units = actual_units - pending.request.units
-        usage.used = max(0.0, usage.used + units)
+        correction = actual_units - pending.request.units
+        usage.used = max(0.0, usage.used + correction)
         if pending.counted_units:
-            usage.unreported += units * pending.counted_units / pending.request.units
+            usage.unreported += correction * pending.counted_units / pending.request.units
 
     def retry_after(self, pending: PendingRequest) -> int:
         """Return the time until the request may fit: at least one unit's refill, at most a window.
--- a/rushroad/policy/tenant_usage.py
+++ b/rushroad/policy/tenant_usage.py
@@ -104,6 +104,7 @@
         else:
             self.calls_without_reply += 1
             self._unconfirmed += amount
+            # A total that a lost subtraction has lowered must not look like that of a new window.
             self.window.own_total += min(0.0, amount)
 
     def apply_total(self, amount: float, total: float, now: int) -> None:
@@ -120,7 +121,7 @@
             return  # the call was made in the previous window
         self.calls_without_reply -= 1
         self._unconfirmed -= amount
-        self.window.own_total -= min(0.0, amount)  # it was added when the call timed out
+        self.window.own_total -= min(0.0, amount)  # a subtraction was counted when the call timed out
         self.apply_total(amount, total, now)
 
     def _additional_others_use(self, amount: float, total: float, now: int) -> float:
--- a/tests/policy/test_concurrency_quota.py
+++ b/tests/policy/test_concurrency_quota.py
@@ -23,12 +23,12 @@
 
 
 def test_open_request_holds_a_slot_on_the_counter_and_returns_it() -> None:
-    # Fixed shares of the limit, rounded up at each gateway, admit at least one request per gateway.
+    # Fixed shares of the limit of 2, rounded up, would admit one request at each of 8 gateways.
     driver = Driver(CONCURRENCY_LIMITED)
     assert action_names(driver.request(entry_point_count=8)) == ["CounterAdd"]
     assert action_names(driver.counter_reply(1.0)) == ["StartAttempt"]
     assert action_names(driver.request(entry_point_count=8)) == ["CounterAdd"]
-    # Fixed shares of one slot would have rejected it.
+    # A fixed share of one slot would have rejected it.
     assert action_names(driver.counter_reply(2.0)) == ["StartAttempt"]
     driver.finish_attempt(1)
     assert [amount for _, amount in counter_amounts(driver)] == [1.0, 1.0, -1.0]
