--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -360,7 +360,7 @@
             return
         other = self._choose_endpoint(pending, attempt.endpoint.entry.name)
         if other is not None:
-            self.retry_policy.take()
+            self.retry_policy.consume_retry()
             self._start_attempt(pending, other)
 
     # --- final answers ------------------------------------------------------------------------------------
--- a/rushroad/policy/retry_policy.py
+++ b/rushroad/policy/retry_policy.py
@@ -28,8 +28,8 @@
         """True if a retry or a hedged request is within the budget."""
         return self._budget >= 1
 
-    def take(self) -> None:
-        """Take one retry from the budget."""
+    def consume_retry(self) -> None:
+        """Subtract one retry or hedged request from the budget."""
         self._budget -= 1
 
     def acquire_retry(self, pending: PendingRequest, result: Result) -> bool:
@@ -38,7 +38,7 @@
             return True
         if pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT or not self.has_budget:
             return False
-        self.take()
+        self.consume_retry()
         return True
 
     def time_to_objective(self, pending: PendingRequest, now: int) -> int:
