--- a/rushroad/policy/concurrency_limit.py
+++ b/rushroad/policy/concurrency_limit.py
@@ -15,11 +15,11 @@
     from rushroad.policy.endpoint_table import EndpointTable
 
 INITIAL_LIMIT = 4.0  # attempts in flight at an endpoint from all gateways together: a few per core
-INCREASE_STEP = 1.0  # attempts, from all gateways together, per as many timely responses as the limit
-DECREASE_FACTOR = 0.6  # on the limit, after a late response
-LATE_RESPONSE_FRACTION = (
-    0.3  # of the latency objective; slower responses show too many attempts at the endpoint
-)
+# Attempts from all gateways together, added to the limit over as many timely responses as the limit.
+INCREASE_STEP = 1.0
+DECREASE_FACTOR = 0.6  # multiplies the limit after a sign of overload
+# Of the latency objective; slower responses show too many attempts at the endpoint.
+LATE_RESPONSE_FRACTION = 0.3
 # After this many times the longest latency objective, an abandoned attempt has left the endpoint.
 ABANDONED_RETENTION_FACTOR = 2.0
 
@@ -46,16 +46,16 @@
         self.in_flight: dict[AttemptKey, int] = {}  # start times, oldest first
         self.abandoned: list[int] = []  # start times of attempts that timed out or were cancelled
 
-    def count(self, abandoned_since: int) -> int:
+    def count(self, abandoned_cutoff: int) -> int:
         """Return the number of attempts in flight, with abandoned ones that may still be at the endpoint."""
-        in_flight = len(self.in_flight)
+        count = len(self.in_flight)
         if self.abandoned:
-            in_flight += sum(started_at > abandoned_since for started_at in self.abandoned)
-        return in_flight
+            count += sum(started_at > abandoned_cutoff for started_at in self.abandoned)
+        return count
 
-    def record_abandoned(self, started_at: int, abandoned_since: int) -> None:
-        """Record an attempt that timed out or was cancelled."""
-        recent = [at for at in self.abandoned if at > abandoned_since]
+    def record_abandoned(self, started_at: int, abandoned_cutoff: int) -> None:
+        """Record an attempt that timed out or was cancelled, and forget those started up to the cutoff."""
+        recent = [at for at in self.abandoned if at > abandoned_cutoff]
         self.abandoned = [*recent, started_at]
 
     def forget_abandoned_up_to(self, started_at: int) -> None:
@@ -91,8 +91,8 @@
         """Return the limit for a newly active endpoint."""
         return self.pooled or ConcurrencyLimit(INITIAL_LIMIT / self.replicas, now)
 
-    def abandoned_since(self, now: int) -> int:
-        """Return the time such that attempts started before it are no longer at their endpoints."""
+    def abandoned_cutoff(self, now: int) -> int:
+        """Return the start time up to which abandoned attempts count as no longer at their endpoints."""
         return now - self._abandoned_retention
 
     def record(
@@ -105,19 +105,23 @@
     ) -> None:
         """Adapt the limit to an attempt's result; `request_class` is None if the request is already over."""
         started_at, limit = now - event.elapsed, concurrency.limit
-        # A limit is raised only if it is reached; a pooled limit is also lowered only if it is reached.
-        pooled = self.pooled is not None
-        is_reached = is_capacity_short if pooled else len(concurrency.in_flight) + 1 >= limit.attempts / 2
-        is_late = event.result is Result.OVERLOADED
+        # A limit is raised only if half of it is in use; a pooled limit is also lowered only then. The
+        # attempt that has just ended counts as in use, although `in_flight` no longer contains it.
+        is_pooled = self.pooled is not None
+        is_half_used = (
+            is_capacity_short if is_pooled else len(concurrency.in_flight) + 1 >= limit.attempts / 2
+        )
+        shows_overload = event.result is Result.OVERLOADED
         if event.result in (Result.TIMEOUT, Result.CANCELLED):
-            concurrency.record_abandoned(started_at, self.abandoned_since(now))
-            is_late = True
+            concurrency.record_abandoned(started_at, self.abandoned_cutoff(now))
+            shows_overload = True
         elif event.result is Result.OK:
             concurrency.forget_abandoned_up_to(started_at)
             objective = request_class.latency_objective if request_class is not None else None
-            is_late = objective is not None and event.elapsed > LATE_RESPONSE_FRACTION * objective
-            if not is_late and is_reached:
+            shows_overload = objective is not None and event.elapsed > LATE_RESPONSE_FRACTION * objective
+            if not shows_overload and is_half_used:
                 limit.attempts += INCREASE_STEP / self.replicas / max(1.0, limit.attempts)
-        if is_late and started_at >= limit.decreased_at and (is_reached or not pooled):
+        # An attempt that started before the last decrease was subject to the previous, higher limit.
+        if shows_overload and started_at >= limit.decreased_at and (is_half_used or not is_pooled):
             limit.attempts = max(1.0 / self.replicas, limit.attempts * DECREASE_FACTOR)
             limit.decreased_at = now
--- a/rushroad/policy/load_balancer.py
+++ b/rushroad/policy/load_balancer.py
@@ -19,16 +19,16 @@
 if TYPE_CHECKING:
     from rushroad.policy.active_endpoints import ActiveEndpoint
 
-ERROR_RATE_WEIGHT = 4.0  # of the error rate in the expected wait; an error costs a request
-AVOID_PENALTY_FACTOR = 10.0  # on the expected wait at the endpoint of the failed attempt
+ERROR_RATE_WEIGHT = 4.0  # of the error rate in the expected wait; an error may cost the whole request
+AVOID_PENALTY_FACTOR = 10.0  # multiplies the expected wait at the endpoint of the failed attempt
 LOAD_REPORT_TIME_CONSTANT = SECOND  # of the exponential decay of the confidence in a load report
 LOAD_SMOOTHING = 0.2  # weight of a new report in the running mean load
 OVERLOAD_PENALTY = 4  # requests added to the load estimate of an endpoint that rejects a request
-MAX_UTILIZATION = 0.8  # upper bound of the utilization in load reports
+MAX_UTILIZATION = 0.8  # higher reported values are capped: the load derived from them is unbounded near 1
 # With this many samples, an endpoint's own latency counts as much as its class's.
 CLASS_LATENCY_PRIOR_SAMPLES = 10.0
 MIN_WEIGHT = 0.01  # lower bound of an endpoint's weight, by which the load is divided
-TIE_BREAK_JITTER = 0.05  # random fraction of the expected wait where the load is known
+TIE_BREAK_JITTER = 0.05  # fraction by which the expected wait varies at random even where the load is known
 
 
 class LoadBalancer:
@@ -57,7 +57,10 @@
     def choose(
         self, pending: PendingRequest, avoid: str | None, ejected: set[str], now: int
     ) -> ActiveEndpoint | None:
-        """Return the best allowed endpoint that is ready, or None; `avoid` only if the others are as bad."""
+        """Return the ready endpoint with the least expected wait of those allowed; None if there is none.
+
+        `avoid`, the endpoint of the failed or silent attempt, is chosen only if all others are far worse.
+        """
         best, least_wait = None, 0.0
         for endpoint in self._endpoints.ready:
             name = endpoint.entry.name
@@ -65,9 +68,10 @@
                 continue
             wait = self.expected_wait(endpoint, now)
             if name in ejected:
-                if not self._is_probe_due(pending, endpoint, now):
+                if not self._may_probe(pending, endpoint, now):
                     continue
-                # With a pooled limit, hundreds of gateways probe it often enough without being forced to.
+                # A wait of 0 makes this request the probe. With a pooled limit, hundreds of gateways choose
+                # the endpoint often enough without that.
                 if self._limiter.pooled is None:
                     wait = 0.0
             if name == avoid:
@@ -81,21 +85,23 @@
             return False
         if pending.possible_executions and not self._retry_policy.allows(pending, endpoint.entry, now):
             return False
-        return not self._slow_start.is_warming_up(endpoint.entry, now) or self._may_warm_up(endpoint, now)
+        return not self._slow_start.is_warming_up(endpoint.entry, now) or self._has_slow_start_budget(
+            endpoint, now
+        )
 
     def _is_at_limit(self, concurrency: EndpointConcurrency, now: int) -> bool:
         if not concurrency.abandoned:
             return len(concurrency.in_flight) >= concurrency.limit.attempts
-        return concurrency.count(self._limiter.abandoned_since(now)) >= concurrency.limit.attempts
+        return concurrency.count(self._limiter.abandoned_cutoff(now)) >= concurrency.limit.attempts
 
-    def _may_warm_up(self, endpoint: ActiveEndpoint, now: int) -> bool:
+    def _has_slow_start_budget(self, endpoint: ActiveEndpoint, now: int) -> bool:
         if endpoint.is_fallback:
             return False
         rate = self._endpoints.warm_response_rate(endpoint, now)
         return self._slow_start.has_budget(endpoint, rate, now)
 
     @staticmethod
-    def _is_probe_due(pending: PendingRequest, endpoint: ActiveEndpoint, now: int) -> bool:
+    def _may_probe(pending: PendingRequest, endpoint: ActiveEndpoint, now: int) -> bool:
         if endpoint.concurrency.in_flight or now < endpoint.outlier.next_probe_at:
             return False
         return pending.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
--- a/rushroad/policy/load_shedding.py
+++ b/rushroad/policy/load_shedding.py
@@ -15,7 +15,7 @@
     from rushroad.policy.endpoint_table import EndpointTable
 
 REQUEST_VALUE_SMOOTHING = 0.2  # weight of a new request in the running mean of request values
-LOW_PRIORITY_RESERVE = 0.5  # of the full credit; requests of the lowest priority leave it to others
+LOW_PRIORITY_RESERVE = 0.5  # fraction of the full credit that requests of the lowest priority must leave
 
 
 class LoadShedding:
@@ -23,8 +23,9 @@
 
     In a small fleet, the capacity is what the concurrency limits of all endpoints leave. In a large fleet,
     the limit is a fraction of an attempt at each endpoint and applies to the mean over time: the allowed
-    attempts in flight earn credit, in attempt-microseconds, and the actual ones spend it. All gateways
-    together thus keep the limits, and a random burst at one of them is not rejected.
+    attempts in flight earn credit, in attempt-microseconds, and the actual ones spend it. The full credit is
+    one attempt for the longest latency objective. All gateways together thus keep the limits, and a random
+    burst at one of them is not rejected.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         self._longest_objective = max(c.latency_objective for c in settings.request_classes)
         self._in_flight = 0
         self._credit, self._credited_at = float(self._longest_objective), now
-        self._mean_value = 1e-9  # running mean of the requests' priority weight per response time
+        self._mean_value = 1e-9  # running mean of the values of requests; not 0, as it is a divisor
 
     @property
     def is_capacity_short(self) -> bool:
@@ -53,7 +54,10 @@
         self._credit, self._credited_at = fraction * self._longest_objective, now
 
     def priority_deficit(self, pending: PendingRequest) -> float:
-        """Return how far a request's value is below the mean, from 0 to 1; for one over its quota, 1."""
+        """Return the fraction by which a request's value is below the mean; 1 if it is likely over its quota.
+
+        The value is the priority weight per typical response time; it also updates the mean.
+        """
         weight = pending.request_class.priority_weight * pending.plan.weight_multiplier
         value = weight / (self._latency.typical(pending.request.class_index) or self._longest_objective)
         self._mean_value += REQUEST_VALUE_SMOOTHING * (value - self._mean_value)
@@ -63,21 +67,22 @@
         """Return whether the endpoints have capacity for a request with this priority deficit."""
         if self._limiter.pooled is not None:
             self.accrue_credit(now)
-            spent = self._in_flight * (
+            # Credit that the attempts in flight will spend; before the first response, an assumed latency.
+            committed = self._in_flight * (
                 self._latency.highest() or COUNTER_WAIT_FRACTION * self._longest_objective
             )
-            return self._credit > spent + LOW_PRIORITY_RESERVE * deficit * self._longest_objective
+            return self._credit > committed + LOW_PRIORITY_RESERVE * deficit * self._longest_objective
         return self._is_below_limits(endpoints, now)
 
     def _is_below_limits(self, endpoints: Sequence[ActiveEndpoint], now: int) -> bool:
         """Return whether fewer attempts are in flight than the limits of all endpoints together allow."""
-        abandoned_since = self._limiter.abandoned_since(now)
+        abandoned_cutoff = self._limiter.abandoned_cutoff(now)
         in_use = limit = 0.0
         for endpoint in endpoints:
             concurrency = endpoint.concurrency
             endpoint_limit = concurrency.limit.attempts
             count = (
-                concurrency.count(abandoned_since) if concurrency.abandoned else len(concurrency.in_flight)
+                concurrency.count(abandoned_cutoff) if concurrency.abandoned else len(concurrency.in_flight)
             )
             # Attempts beyond an endpoint's limit, possibly all abandoned, take no capacity from the others.
             in_use += count if count < endpoint_limit else endpoint_limit
@@ -85,10 +90,10 @@
         return limit > 0 and in_use < max(1.0, limit)
 
     def accrue_credit(self, now: int) -> None:
-        """Add the credit earned until now; call before each change of what the rate depends on."""
+        """Add the credit earned, less that spent, until now; call before the rate of either changes."""
         if self._limiter.pooled is not None:
-            gain = self._limiter.pooled.attempts * self._table.expected_subset_size() - self._in_flight
-            self._credit = min(self._longest_objective, self._credit + gain * (now - self._credited_at))
+            rate = self._limiter.pooled.attempts * self._table.expected_subset_size() - self._in_flight
+            self._credit = min(self._longest_objective, self._credit + rate * (now - self._credited_at))
         self._credited_at = now
 
     def attempt_started(self, now: int) -> None:
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -20,7 +20,7 @@
 from tests.support.policy_scenarios import LARGE_FLEET, reply_to_oldest_call
 
 
-def test_overloaded_endpoint_gets_fewer_attempts() -> None:
+def test_unresponsive_endpoint_gets_fewer_attempts() -> None:
     """Abandoned attempts still wait at an endpoint that does not respond, so they count as in flight."""
     driver = Driver(replace(SETTINGS, limits=Limits(max_attempts=1)), endpoint_count=2)
     unresponsive = ready_endpoint(1).name
@@ -47,7 +47,7 @@
     endpoint = driver.gateway.endpoints.get("10.0.0.1:80")
     assert endpoint is not None
     assert not endpoint.concurrency.in_flight
-    assert endpoint.concurrency.count(abandoned_since=0) <= 6
+    assert endpoint.concurrency.count(abandoned_cutoff=0) <= 6
 
 
 def test_abandoned_attempts_at_one_endpoint_take_no_capacity_at_others() -> None:
@@ -55,7 +55,7 @@
     driver = Driver()
     paused = driver.gateway.endpoints.ready[0]
     for _ in range(8):  # more than the sum of the limits of all four endpoints
-        paused.concurrency.record_abandoned(driver.now, abandoned_since=0)
+        paused.concurrency.record_abandoned(driver.now, abandoned_cutoff=0)
     assert driver.admit().endpoint != paused.entry.name
 
 
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -41,11 +41,11 @@
     driver.update_endpoints(*ready_endpoints_of_two_classes(endpoint_count), kind=UpdateKind.CACHED_SNAPSHOT)
     driver.wait(1 * SECOND)  # a long list is reviewed in batches
     considered: list[ActiveEndpoint] = []
-    wait = driver.gateway.load_balancer.expected_wait
+    expected_wait = driver.gateway.load_balancer.expected_wait
 
     def record_call(endpoint: ActiveEndpoint, now: int) -> float:
         considered.append(endpoint)
-        return wait(endpoint, now)
+        return expected_wait(endpoint, now)
 
     driver.gateway.load_balancer.expected_wait = record_call  # type: ignore[method-assign]
     driver.admit()
