--- a/rushroad/policy/active_endpoints.py
+++ b/rushroad/policy/active_endpoints.py
@@ -23,12 +23,14 @@
 
 WARM_COUNT_INTERVAL = SECOND  # between counts of the warm endpoints
 REVIEW_BATCH_SIZE = 1_000  # entries of the endpoint list reviewed in one step, which takes some milliseconds
-MIN_HEALTHY_FRACTION = 0.5  # of the expected subset size; below it, fallback endpoints are added
-MAX_READY_MULTIPLE = 2.0  # of the expected subset size; at it, no further fallback endpoints are added
+# Both are relative to the expected subset size. Fallback endpoints are added while there are fewer healthy
+# endpoints (warm and not suspect) than MIN_HEALTHY_FRACTION and fewer ready ones than MAX_READY_MULTIPLE.
+MIN_HEALTHY_FRACTION = 0.5
+MAX_READY_MULTIPLE = 2.0
 
 
 class EndpointClassStats:
-    """Statistics of all endpoints of one class: a gateway of a large fleet has too few samples of each."""
+    """Statistics over all endpoints of a class: a gateway of a large fleet has too few samples of one."""
 
     __slots__ = ("latency", "throughput")
 
@@ -48,7 +50,7 @@
         "latency",
         "load",
         "outlier",
-        "slow_start",
+        "slow_start_budget",
     )
 
     def __init__(
@@ -56,7 +58,7 @@
         entry: Endpoint,
         class_stats: EndpointClassStats,
         concurrency: EndpointConcurrency,
-        slow_start: SlowStartBudget,
+        slow_start_budget: SlowStartBudget,
         now: int,
     ) -> None:
         self.entry = entry
@@ -66,14 +68,14 @@
         self.latency = RelativeLatency()
         self.load = LoadEstimate(now)
         self.outlier = OutlierState(now)
-        self.slow_start = slow_start
+        self.slow_start_budget = slow_start_budget
 
     def reset_after_restart(self, random: Random, now: int) -> None:
         """Discard what was learned from the previous process."""
         self.outlier.reset()
         self.latency.reset()
         self.concurrency.forget_abandoned()
-        self.slow_start.reset(random, now)
+        self.slow_start_budget.reset(random, now)
 
 
 class ActiveEndpoints:
@@ -99,7 +101,7 @@
         self.ready: list[ActiveEndpoint] = []
         self._warm_count = 0  # ready endpoints that were warm at the last count
         self._warm_counted_at: int | None = None  # None if the count is out of date
-        self._review: Iterator[Endpoint] | None = None  # over all entries, while the subset changes
+        self._review: Iterator[Endpoint] | None = None  # over the entries left to review; None after the last
 
     def __len__(self) -> int:
         return len(self._endpoints)
@@ -132,8 +134,8 @@
     def _add(self, entry: Endpoint, now: int) -> ActiveEndpoint:
         concurrency = EndpointConcurrency(self._limiter.new_limit(now))
         class_stats = self._class_stats.setdefault(entry.endpoint_class_index, EndpointClassStats(now))
-        budget = SlowStartBudget(self._random, now)
-        endpoint = ActiveEndpoint(entry, class_stats, concurrency, budget, now)
+        slow_start_budget = SlowStartBudget(self._random, now)
+        endpoint = ActiveEndpoint(entry, class_stats, concurrency, slow_start_budget, now)
         self._endpoints[entry.name] = endpoint
         return endpoint
 
@@ -143,13 +145,16 @@
         self._warm_counted_at = None
 
     def start_review(self) -> bool:
-        """Start a new review of all entries after a change of the subset size; False if one was running."""
+        """After a change of the subset size, start to review which entries are in the subset.
+
+        Return False if a review was in progress, which starts over with its next batch.
+        """
         was_running = self._review is not None
         self._review = self._table.iterate_backwards()
         return not was_running
 
     def review_next_batch(self, now: int) -> bool:
-        """Review the next batch of entries; return True while more are left."""
+        """Review the next batch of entries; return whether entries may be left."""
         batch = list(islice(self._review or (), REVIEW_BATCH_SIZE))
         for entry in batch:
             self.update(entry, now)
@@ -161,7 +166,7 @@
     # --- fallback endpoints -------------------------------------------------------------------------------
 
     def add_fallback_if_needed(self, suspect_count: int, now: int) -> bool:
-        """Add a fallback endpoint if too few endpoints are warm and not suspect; return True if it was added.
+        """Add a fallback endpoint if too few endpoints are healthy; return whether one was added.
 
         It is picked at random, so that gateways pick different ones. Endpoints that are warming up are
         excluded: the gateways that have them in their subsets already use all of their capacity.
@@ -205,14 +210,18 @@
     def warm_response_rate(self, endpoint: ActiveEndpoint, now: int) -> float:
         """Return the responses per second that this gateway gets from a warm endpoint of the same class.
 
-        While the class has had no response, the mean over all classes is returned.
+        Until the class has had a response, the mean over all classes is returned.
         """
         self._update_warm_counts(now)
-        own = endpoint.class_stats.throughput
-        throughputs = [own] if own.is_known else [each.throughput for each in self._class_stats.values()]
+        own_throughput = endpoint.class_stats.throughput
+        throughputs = (
+            [own_throughput]
+            if own_throughput.is_known
+            else [each.throughput for each in self._class_stats.values()]
+        )
         rate = sum(throughput.rate(now) for throughput in throughputs)
-        warm = sum(throughput.mean_warm_count(now) for throughput in throughputs)
-        return rate / warm if warm > 0 else 0.0
+        warm_count = sum(throughput.mean_warm_count(now) for throughput in throughputs)
+        return rate / warm_count if warm_count > 0 else 0.0
 
     def _update_warm_counts(self, now: int) -> None:
         """Recount the warm endpoints if the count is out of date, and remove unneeded fallback endpoints.
@@ -226,19 +235,19 @@
         self._warm_counted_at = now
         for class_index, class_stats in self._class_stats.items():
             entries = (e.entry for e in self.ready if e.entry.endpoint_class_index == class_index)
-            warm = sum(not self._slow_start.is_warming_up(entry, now) for entry in entries)
-            class_stats.throughput.set_warm_count(warm, now)
+            warm_count = sum(not self._slow_start.is_warming_up(entry, now) for entry in entries)
+            class_stats.throughput.set_warm_count(warm_count, now)
 
     def _remove_unneeded_fallbacks(self, now: int) -> None:
-        """Remove idle fallback endpoints if enough endpoints of the subset are warm and not suspect."""
+        """Remove idle fallback endpoints if enough endpoints of the subset are healthy."""
         subset = [endpoint for endpoint in self.ready if not endpoint.is_fallback]
         if len(subset) == len(self.ready):
             return
         suspects = {endpoint.entry.name for endpoint in self._outliers.suspects(subset, now)}
-        healthy = sum(
+        healthy_count = sum(
             not self._slow_start.is_warming_up(e.entry, now) and e.entry.name not in suspects for e in subset
         )
-        if healthy <= MIN_HEALTHY_FRACTION * self._table.expected_subset_size():
+        if healthy_count <= MIN_HEALTHY_FRACTION * self._table.expected_subset_size():
             return
         for endpoint in self.ready:
             if endpoint.is_fallback and not endpoint.concurrency.in_flight:
--- a/rushroad/policy/slow_start.py
+++ b/rushroad/policy/slow_start.py
@@ -54,14 +54,16 @@
         The budget grows by this gateway's share of the endpoint's guaranteed capacity at its uptime, derived
         from the responses per second that this gateway gets from a warm endpoint.
         """
-        safety, budget = self._safety, endpoint.slow_start
-        uptime = max(0, self._clock_skew.uptime(endpoint.entry.started_at, now)) / max(1, safety.warm_up_time)
-        capacity = safety.initial_capacity + (1 - safety.initial_capacity) * uptime
+        safety, budget = self._safety, endpoint.slow_start_budget
+        uptime_fraction = max(0, self._clock_skew.uptime(endpoint.entry.started_at, now)) / max(
+            1, safety.warm_up_time
+        )
+        capacity = safety.initial_capacity + (1 - safety.initial_capacity) * uptime_fraction
         rate = BUDGET_FRACTION * safety.overload_multiple * capacity * warm_response_rate
         grown = budget.attempts + rate * (now - budget.updated_at) / SECOND
         budget.attempts, budget.updated_at = min(MAX_BUDGET, grown), now
         return budget.attempts >= MAX_BUDGET
 
     def consume(self, endpoint: ActiveEndpoint) -> None:
-        """Consume the budget for a started attempt."""
-        endpoint.slow_start.attempts -= 1.0
+        """Subtract a started attempt from the budget."""
+        endpoint.slow_start_budget.attempts -= 1.0
--- a/rushroad/policy/throughput.py
+++ b/rushroad/policy/throughput.py
@@ -35,10 +35,10 @@
         """Return the responses per second of all warm endpoints together."""
         return self._rate * math.exp((self._updated_at - now) / TIME_CONSTANT)
 
-    def set_warm_count(self, warm: int, now: int) -> None:
+    def set_warm_count(self, count: int, now: int) -> None:
         """Set the number of endpoints of the class that are warm from now on."""
-        self._mean_warm_count = self.mean_warm_count(now) or warm
-        self._warm_count, self._counted_at = warm, now
+        self._mean_warm_count = self.mean_warm_count(now) or count
+        self._warm_count, self._counted_at = count, now
 
     def mean_warm_count(self, now: int) -> float:
         """Return the mean number of warm endpoints over the period that the rate covers."""
