--- a/rushroad/policy/attempt_result_recorder.py
+++ b/rushroad/policy/attempt_result_recorder.py
@@ -40,8 +40,8 @@
         """Record the result of an attempt; `pending` is None if the request already had its final answer."""
         endpoint.concurrency.in_flight.pop((event.request_id, event.attempt), None)
         request_class = pending.request_class if pending is not None else None
-        is_short = self._load_shedding.is_capacity_short
-        self._limiter.record(endpoint.concurrency, event, request_class, is_short, now)
+        is_capacity_short = self._load_shedding.is_capacity_short
+        self._limiter.record(endpoint.concurrency, event, request_class, is_capacity_short, now)
         if event.load_report:
             self._load_balancer.record_load_report(endpoint, event.load_report, now)
         self._outliers.record_response(endpoint, event.result, now)
@@ -74,7 +74,7 @@
             self._load_balancer.record_overload(endpoint, now)
 
     def eject_if_silent(self, endpoint: ActiveEndpoint, since: int, now: int) -> bool:
-        """Eject an endpoint that has not responded since then, although it should have; return True if so."""
+        """Eject an endpoint if it has been silent since the given time; return whether it has been."""
         rate = self._endpoints.warm_response_rate(endpoint, now)
         if not self._outliers.is_silent(endpoint, rate, since, now):
             return False
--- a/rushroad/policy/latency.py
+++ b/rushroad/policy/latency.py
@@ -5,7 +5,8 @@
 from rushroad.policy.events import AttemptFinished, Result
 from rushroad.policy.settings import Settings
 
-# Weight of a new response time. Work varies as much as its mean, so about 30 must count.
+# Weight of a new response time in a running mean. The work per request varies by as much as its mean, so that
+# about 30 responses must count.
 RESPONSE_TIME_SMOOTHING = 0.03
 
 
--- a/rushroad/policy/outlier_detection.py
+++ b/rushroad/policy/outlier_detection.py
@@ -16,11 +16,11 @@
 ERROR_RATE_SMOOTHING = 0.2  # weight of a new result in an endpoint's error rate
 MAX_ERROR_RATE = 0.3  # above it an endpoint is ejected; healthy ones are far below
 MAX_EJECTED_FRACTION = 0.5  # of the endpoints; if more look unhealthy, the cause is likely shared
-PROBE_INTERVAL_RESPONSES = 6.0  # typical response times between probes of an ejected endpoint
+PROBE_INTERVAL_RESPONSE_TIMES = 6.0  # typical response times between the probes of an ejected endpoint
 MAX_PROBE_INTERVAL = 5 * SECOND
-DEFAULT_LATENCY = SECOND / 10  # before the first response
-SUSPECT_SILENCE_RESPONSES = 5.0  # typical response times without a response that make an endpoint suspect
-MIN_MISSED_RESPONSES = 3.0  # expected but not received; the probability by chance is 1 in 20
+DEFAULT_LATENCY = SECOND / 10  # assumed before the first response
+SUSPECT_SILENCE_RESPONSE_TIMES = 5.0  # typical response times of silence that make an endpoint suspect
+MIN_MISSED_RESPONSES = 3.0  # expected, and none received; the probability of that by chance is 1 in 20
 
 
 class OutlierState:
@@ -51,13 +51,15 @@
 
     def suspects(self, endpoints: Sequence[ActiveEndpoint], now: int) -> list[ActiveEndpoint]:
         """Return the endpoints that are ejected, or have been silent for so long that they may soon be."""
-        max_silence = SUSPECT_SILENCE_RESPONSES * self._typical_latency()
+        max_silence = SUSPECT_SILENCE_RESPONSE_TIMES * self._typical_latency()
         suspects = []
         for endpoint in endpoints:
             state, in_flight = endpoint.outlier, endpoint.concurrency.in_flight
             if state.ejected:
                 suspects.append(endpoint)
-            elif in_flight:  # a response is due since its last one, or since the oldest attempt
+            elif (
+                in_flight
+            ):  # silent since the last response, or since the start of the oldest attempt if later
                 oldest_started_at = next(iter(in_flight.values()))
                 if now - max(oldest_started_at, state.responded_at) > max_silence:
                     suspects.append(endpoint)
@@ -66,13 +68,14 @@
     def select_ejected(self, suspects: list[ActiveEndpoint], endpoint_count: int) -> set[str]:
         """Return the names of the suspects to avoid: the worst ones, if there are too many."""
         suspects.sort(key=lambda each: (-each.outlier.error_rate, each.outlier.responded_at))
-        # A refused connection proves that an endpoint is down, so all of these may be ejected.
-        down = sum(each.outlier.error_rate >= 1.0 for each in suspects)
-        limit = max(down, int(MAX_EJECTED_FRACTION * endpoint_count))
+        # A refused connection sets the error rate to 1 and proves that the endpoint is down, so all of these
+        # may be ejected.
+        down_count = sum(each.outlier.error_rate >= 1.0 for each in suspects)
+        limit = max(down_count, int(MAX_EJECTED_FRACTION * endpoint_count))
         return {each.entry.name for each in suspects[:limit]}
 
     def is_silent(self, endpoint: ActiveEndpoint, response_rate: float, since: int, now: int) -> bool:
-        """Return whether no response of any kind has come since then, although several were expected.
+        """Return whether no response of any kind has come since a given time, although several were expected.
 
         One slow request is not enough where a gateway sends few requests to an endpoint: cancelling it would
         discard work that is nearly done, and repeat it.
@@ -88,7 +91,9 @@
     def schedule_probe(self, endpoint: ActiveEndpoint, now: int) -> None:
         """Allow the next probe of an ejected endpoint one probe interval from now."""
         replicas = 1.0 if self._limiter.pooled is None else self._limiter.replicas
-        interval = int(min(MAX_PROBE_INTERVAL, PROBE_INTERVAL_RESPONSES * replicas * self._typical_latency()))
+        interval = int(
+            min(MAX_PROBE_INTERVAL, PROBE_INTERVAL_RESPONSE_TIMES * replicas * self._typical_latency())
+        )
         endpoint.outlier.next_probe_at = now + interval
 
     def record_response(self, endpoint: ActiveEndpoint, result: Result, now: int) -> None:
--- a/rushroad/policy/retry_policy.py
+++ b/rushroad/policy/retry_policy.py
@@ -33,7 +33,10 @@
         self._budget -= 1
 
     def acquire_retry(self, pending: PendingRequest, result: Result) -> bool:
-        """Return whether a request may be retried; takes from the budget if it may have been executed."""
+        """Return whether a request may be retried after this result.
+
+        The retry is subtracted from the budget, unless the result proves that the request was not executed.
+        """
         if result.proven_not_executed:
             return True
         if pending.request_class.idempotency is Idempotency.NOT_IDEMPOTENT or not self.has_budget:
@@ -63,7 +66,7 @@
         return not pending.possible_executions and not pending.in_flight  # a retry gets all the time left
 
     def attempt_check_delay(self, pending: PendingRequest, now: int) -> int | None:
-        """Return the delay until the check for a silent endpoint; None if the attempt is not checked."""
+        """Return the delay until an attempt's endpoint is checked for silence; None if it is not checked."""
         if not self._limits.cancellation_allowed or not self._leaves_time_for_retry(pending):
             return None
         return int(self.time_to_objective(pending, now) * FIRST_ATTEMPT_FRACTION)
@@ -72,8 +75,8 @@
         """Return the timeout of an attempt that starts now."""
         remaining, to_objective = pending.deadline - now, self.time_to_objective(pending, now)
         timeout = remaining if pending.request_class.late_weight > 0 else min(remaining, to_objective)
-        is_first = pending.attempt_count == 0 and not self._limits.cancellation_allowed
-        if is_first and self._leaves_time_for_retry(pending):
+        is_unchecked_first = pending.attempt_count == 0 and not self._limits.cancellation_allowed
+        if is_unchecked_first and self._leaves_time_for_retry(pending):
             timeout = min(timeout, max(self._tick, int(to_objective * FIRST_ATTEMPT_FRACTION)))
         return timeout
 
