--- a/rushroad/policy/endpoint_table.py
+++ b/rushroad/policy/endpoint_table.py
@@ -87,7 +87,7 @@
             self._endpoints[position], self._positions[last.name] = last, position
 
     def resize_subset(self) -> bool:
-        """Adapt the subset size to the number of ready endpoints; return True if that may move any entry."""
+        """Adapt the subset size to the number of ready endpoints; return whether it has changed."""
         previous = self.mean_replicas
         if self.ready_count:
             self.mean_replicas = mean_replicas(self._fleet_size, self.ready_count)
@@ -106,7 +106,7 @@
         return self.ready_count * self.mean_replicas / self._fleet_size
 
     def iterate_backwards(self) -> Iterator[Endpoint]:
-        """Yield all entries, the last first, so that none is missed if the table changes meanwhile."""
+        """Yield all entries, the last first: a removal meanwhile, which moves the last entry, skips none."""
         position = len(self._endpoints)
         while position := min(position, len(self._endpoints)):
             position -= 1
--- a/rushroad/policy/subsetting.py
+++ b/rushroad/policy/subsetting.py
@@ -14,16 +14,21 @@
 import xxhash
 
 MIN_SUBSET_SIZE = 8  # endpoints per gateway, if there are as many; fewer are too easily all unhealthy
-MAX_SUBSET_SIZE = 56  # endpoints per gateway, unless MIN_REPLICAS needs more; a choice examines them all
+MAX_SUBSET_SIZE = 56  # endpoints per gateway, unless MIN_REPLICAS needs more; each attempt examines all
 MIN_REPLICAS = 3  # gateways per endpoint, so that it still gets requests with two of them down
-SOFT_MAX_REPLICAS = 8  # gateways per endpoint that cost it little; small fleets have no subsets
-REPLICAS_STEP = 0.125  # of the mean: few endpoints gain or lose a replica as the list grows or shrinks
-EXTRA_REPLICA_SEED = 0xFFFF  # for the hash that adds a replica to some; above the selection's seeds
+# Gateways per endpoint, unless MIN_SUBSET_SIZE needs more. So many cost an endpoint little.
+SOFT_MAX_REPLICAS = 8
+REPLICAS_STEP = 0.125  # between possible means, so that few endpoints gain or lose a replica at a time
+# For the hash that decides which endpoints get one replica more; select_replicas uses lower seeds.
+EXTRA_REPLICA_SEED = 0xFFFF
 HASH_BITS = 64
 
 
 def mean_replicas(gateways: int, endpoints: int) -> float:
-    """Return the mean number of gateways that share a ready endpoint: all of them in a small fleet."""
+    """Return the mean number of gateways that share a ready endpoint.
+
+    In a small fleet these are all gateways, so it has no subsets.
+    """
     if endpoints <= 0:
         return gateways
     bounded = min(SOFT_MAX_REPLICAS, max(MIN_REPLICAS, MAX_SUBSET_SIZE * gateways / endpoints))
@@ -46,12 +51,12 @@
     A higher count only appends further indexes.
     """
     index_bits = max(1, (gateways - 1).bit_length())
-    mask, selected, seed, text = (1 << index_bits) - 1, dict[int, None](), 0, name.encode()
+    mask, selected, seed, encoded_name = (1 << index_bits) - 1, dict[int, None](), 0, name.encode()
     while True:
-        hash_bits, seed = xxhash.xxh3_64_intdigest(text, seed), seed + 1
+        hash_value, seed = xxhash.xxh3_64_intdigest(encoded_name, seed), seed + 1
         for _ in range(HASH_BITS // index_bits):
-            if (index := hash_bits & mask) < gateways:
+            if (index := hash_value & mask) < gateways:
                 selected[index] = None
                 if len(selected) >= count:
                     return list(selected)
-            hash_bits >>= index_bits
+            hash_value >>= index_bits
--- a/tests/policy/test_endpoint_updates.py
+++ b/tests/policy/test_endpoint_updates.py
@@ -41,6 +41,6 @@
 def test_restarted_gateway_of_a_large_fleet_forwards_at_once_with_its_cached_snapshot() -> None:
     driver = Driver(LARGE_FLEET, endpoint_count=0)
     driver.update_endpoints(*ready_endpoints_of_two_classes(84), kind=UpdateKind.CACHED_SNAPSHOT)
-    for cls in (IDEMPOTENT, IDEMPOTENCY_KEY, NOT_IDEMPOTENT):
-        assert driver.admit(class_index=cls, tenant=cls, entry_point_count=150)
+    for class_index in (IDEMPOTENT, IDEMPOTENCY_KEY, NOT_IDEMPOTENT):
+        assert driver.admit(class_index=class_index, tenant=class_index, entry_point_count=150)
     assert LARGE_FLEET.request_classes[NOT_IDEMPOTENT].idempotency is Idempotency.NOT_IDEMPOTENT
