--- a/rushroad/policy/endpoint_table.py
+++ b/rushroad/policy/endpoint_table.py
@@ -87,7 +87,7 @@
             self._endpoints[position], self._positions[last.name] = last, position
 
     def resize_subset(self) -> bool:
-        """Adapt the subset size to the number of ready endpoints; return whether it has changed."""
+        """Adapt `mean_replicas` to the number of ready endpoints; return whether subsets may change."""
         previous = self.mean_replicas
         if self.ready_count:
             self.mean_replicas = mean_replicas(self._fleet_size, self.ready_count)
--- a/rushroad/policy/outlier_detection.py
+++ b/rushroad/policy/outlier_detection.py
@@ -57,9 +57,8 @@
             state, in_flight = endpoint.outlier, endpoint.concurrency.in_flight
             if state.ejected:
                 suspects.append(endpoint)
-            elif (
-                in_flight
-            ):  # silent since the last response, or since the start of the oldest attempt if later
+            elif in_flight:
+                # Silent since the last response, or since the start of the oldest attempt if that is later.
                 oldest_started_at = next(iter(in_flight.values()))
                 if now - max(oldest_started_at, state.responded_at) > max_silence:
                     suspects.append(endpoint)
@@ -90,6 +89,7 @@
 
     def schedule_probe(self, endpoint: ActiveEndpoint, now: int) -> None:
         """Allow the next probe of an ejected endpoint one probe interval from now."""
+        # With a pooled limit, the gateways that share the endpoint keep the interval together.
         replicas = 1.0 if self._limiter.pooled is None else self._limiter.replicas
         interval = int(
             min(MAX_PROBE_INTERVAL, PROBE_INTERVAL_RESPONSE_TIMES * replicas * self._typical_latency())
--- a/rushroad/policy/slow_start.py
+++ b/rushroad/policy/slow_start.py
@@ -55,10 +55,10 @@
         from the responses per second that this gateway gets from a warm endpoint.
         """
         safety, budget = self._safety, endpoint.slow_start_budget
-        uptime_fraction = max(0, self._clock_skew.uptime(endpoint.entry.started_at, now)) / max(
+        warm_up_progress = max(0, self._clock_skew.uptime(endpoint.entry.started_at, now)) / max(
             1, safety.warm_up_time
         )
-        capacity = safety.initial_capacity + (1 - safety.initial_capacity) * uptime_fraction
+        capacity = safety.initial_capacity + (1 - safety.initial_capacity) * warm_up_progress
         rate = BUDGET_FRACTION * safety.overload_multiple * capacity * warm_response_rate
         grown = budget.attempts + rate * (now - budget.updated_at) / SECOND
         budget.attempts, budget.updated_at = min(MAX_BUDGET, grown), now
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -41,7 +41,7 @@
             while driver.counter_calls:
                 reply_to_oldest_call(driver, 40.0)
             driver.finish_all()
-            driver.wait(8 * SECOND + 100 * MS)  # past the time within which a window may still end
+            driver.wait(8 * SECOND + 100 * MS)  # longer than a window and a counter call's timeout
         driver.gateway.load_shedding.set_credit(0.4, driver.now)
         assert action_names(driver.request(tenant=1)) == ["Reject"]
         assert action_names(driver.request(tenant=2, class_index=IDEMPOTENCY_KEY)) != ["Reject"]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -17,7 +17,7 @@
 from tests.support.policy_scenarios import LARGE_FLEET, LARGE_FLEET_WITHOUT_COUNTER
 
 GATEWAYS, ENDPOINTS = 25, 10
-ROUND = 100 * MS  # each gateway gets one request per round, in a burst two
+ROUND = 100 * MS  # each gateway gets one request per round, and two in a burst
 
 NO_QUOTA = replace(SETTINGS, counter=None, plans=(replace(SETTINGS.plans[0], rate=0.0, burst=0.0),))
 
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -185,7 +185,7 @@
     driver.update_endpoints(*endpoints, kind=UpdateKind.CACHED_SNAPSHOT)
     driver.wait(1 * SECOND)
     cells = {endpoint.name: endpoint.cell for endpoint in endpoints}
-    for tenant in range(8):  # as many as the retry budget allows
+    for tenant in range(8):  # all within the retry budget
         first = driver.admit(class_index=IDEMPOTENCY_KEY, tenant=tenant)
         actions = driver.finish_attempt(first.request_id, Result.ERROR)
         (retry,) = (action for action in actions if isinstance(action, StartAttempt))
