--- a/rushroad/policy/load_shedding.py
+++ b/rushroad/policy/load_shedding.py
@@ -15,7 +15,7 @@
     from rushroad.policy.endpoint_table import EndpointTable
 
 REQUEST_VALUE_SMOOTHING = 0.2  # weight of a new request in the running mean of request values
-LOW_PRIORITY_RESERVE = 0.5  # fraction of the full credit that requests of the lowest priority must leave
+LOW_PRIORITY_RESERVE = 0.5  # of the full credit; requests of the lowest priority must leave it to others
 
 
 class LoadShedding:
