--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests with gateway processes."""
+"""Fixtures for tests that run gateway processes."""
 
 import functools
 from collections.abc import AsyncIterator, Iterator
@@ -14,27 +14,27 @@
 
 @pytest.fixture
 def peers() -> Iterator[Peers]:
-    """A discovery service and a counter that accept connections only when the test does."""
+    """Listening sockets for discovery and the counter, on which the test itself accepts connections."""
     with listen() as discovery, listen() as counter:
         yield Peers(discovery, counter, free_port())
 
 
 @pytest.fixture
 def start_gateway(tmp_path: Path) -> Iterator[StartGateway]:
-    """Starts a gateway process with a configuration file of this text, and kills it after the test."""
+    """Starts a gateway process with the given configuration text; kills it after the test."""
     with ExitStack() as stack:
         yield lambda text: stack.enter_context(running_gateway(tmp_path, text))
 
 
 @pytest.fixture
 def make_cluster(tmp_path: Path) -> ClusterFactory:
-    """Makes a cluster of gateways whose processes the test starts."""
+    """Creates a cluster whose gateway processes are started by the test."""
     return functools.partial(GatewayCluster, tmp_path)
 
 
 @pytest.fixture
 def running_cluster(make_cluster: ClusterFactory) -> RunningCluster:
-    """Makes a cluster of gateways that are started and ready."""
+    """Creates a cluster with all gateways started and ready."""
 
     @asynccontextmanager
     async def run_cluster(**options: Any) -> AsyncIterator[GatewayCluster]:
@@ -42,7 +42,7 @@
             for number in range(cluster.gateways):
                 cluster.start(number)
             for number in range(cluster.gateways):
-                await cluster.ready(number)
+                await cluster.wait_until_ready(number)
             yield cluster
 
     return run_cluster
--- a/tests/integration/soak.py
+++ b/tests/integration/soak.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from rushroad.bench.commands import CounterMode
-from tests.support.gateway_cluster import TICK, ClientConnection, GatewayCluster, request_command
+from tests.support.gateway_cluster import POLL_INTERVAL_S, ClientConnection, GatewayCluster, request_command
 from tests.support.soak_judgement import (
     EFFECT_BY_CLASS,
     INCONCLUSIVE,
@@ -78,7 +78,7 @@
                 Path(folder),
                 servers=6,
                 sockets=FEW_SOCKETS if self._connections_limited else SOCKETS,
-                work=self._random.choice([0.005, 0.05, 0.2]),
+                service_time_s=self._random.choice([0.005, 0.05, 0.2]),
                 settings=settings(self._deadline),
             ) as cluster:
                 exit_status = await self._load(cluster)
@@ -87,7 +87,7 @@
     async def _load(self, cluster: GatewayCluster) -> int | None:
         """Play clients, disturbances and the shutdown; the exit status, or None if it had to be killed."""
         random, process = self._random, cluster.start()
-        await cluster.ready()
+        await cluster.wait_until_ready()
         idle = [await cluster.connect() for _ in range(IDLE_CLIENTS if self._connections_limited else 0)]
         loop = asyncio.get_running_loop()
         clients = [
@@ -119,7 +119,7 @@
             with suppress(ProcessLookupError):
                 process.send_signal(self._random.choice([signal.SIGHUP, signal.SIGHUP, signal.SIGTERM]))
         while loop.time() < kill_at and process.poll() is None:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return process.poll()
 
     async def _disturb(self, cluster: GatewayCluster) -> None:
@@ -129,7 +129,7 @@
         match random.randrange(6):
             case 0:
                 for _ in range(random.randrange(1, 6)):
-                    cluster.configure(0)
+                    cluster.write_configuration(0)
                     process.send_signal(signal.SIGHUP)
             case 1 if sum(other.lifecycle == "SERVING" for other in cluster.rate_servers) > 3:
                 server.lifecycle = "DRAINING"
@@ -157,7 +157,7 @@
                 try:
                     connection, fresh = await cluster.connect(), True
                 except OSError:
-                    await asyncio.sleep(TICK)
+                    await asyncio.sleep(POLL_INTERVAL_S)
                     continue
             size = random.choice([1, 1, 1, 3, 80])
             batch = [self._request(random, client, fresh and place == 0) for place in range(size)]
@@ -188,7 +188,7 @@
         """Record the answers to a batch in their order; false where the connection ended before the last."""
         loop, answered_at = asyncio.get_running_loop(), 0.0
         for place, request in enumerate(batch):
-            answer = await connection.answer()
+            answer = await connection.read_answer()
             request.previous_answered_at, answered_at = answered_at, loop.time()
             if not answer:
                 crossing = answered_at - request.sent_at < CROSSING + cluster.timing_allowance()
--- a/tests/integration/test_actual_units.py
+++ b/tests/integration/test_actual_units.py
@@ -17,21 +17,21 @@
 def test_quota_counts_actual_units(tmp_path: Path, gateways: int) -> None:
     async def scenario() -> None:
         extra = gateway_settings(1, 0)["extra"] | {"truedUp": True}
-        world = GatewayCluster(tmp_path, gateways=gateways, settings={"packages": [PLAN], "extra": extra})
-        async with world:
-            for server in world.rate_servers:
-                server.figures = b"$13\r\nused=3,cost=%d\r\n" % ACTUAL_UNITS
+        cluster = GatewayCluster(tmp_path, gateways=gateways, settings={"packages": [PLAN], "extra": extra})
+        async with cluster:
+            for server in cluster.rate_servers:
+                server.usage_figures = b"$13\r\nused=3,cost=%d\r\n" % ACTUAL_UNITS
             clients = []
             for number in range(gateways):
-                world.start(number)
-                await world.ready(number)
-                clients.append(await world.connect(number))
+                cluster.start(number)
+                await cluster.wait_until_ready(number)
+                clients.append(await cluster.connect(number))
             loop = asyncio.get_running_loop()
             began, served = loop.time(), 0
             for request in range(40):
                 client = clients[request % gateways]
                 client.writer.write(request_command(request, 3_000, tenant=9, spread=gateways))
-                served += await client.answer() == b"%016x" % request
+                served += await client.read_answer() == b"%016x" % request
             allowed = (BURST + RATE * (loop.time() - began)) / ACTUAL_UNITS
             # Each gateway learns the actual units of its last request only afterwards.
             assert 0 < served <= allowed + gateways
--- a/tests/integration/test_largest_values.py
+++ b/tests/integration/test_largest_values.py
@@ -16,14 +16,14 @@
             client, server = await cluster.connect(), cluster.rate_servers[0]
             server.value = bytes(range(256)) * (MAX_VALUE_BYTES // 256)
             client.writer.write(request_command(1, 5_000, name=b"order", body=b"b" * MAX_VALUE_BYTES))
-            assert await client.answer() == server.value
+            assert await client.read_answer() == server.value
             client.writer.write(request_command(2, 5_000, name=b"order", body=b"b" * (MAX_VALUE_BYTES + 1)))
-            assert (await client.answer()).startswith(b"-ERR Protocol error")
-            assert await client.answer() == b""
+            assert (await client.read_answer()).startswith(b"-ERR Protocol error")
+            assert await client.read_answer() == b""
             client = await cluster.connect()
             server.value += b"!"
             client.writer.write(request_command(3, 5_000, name=b"order"))
-            assert await client.answer() == b"-ERR failed"
+            assert await client.read_answer() == b"-ERR failed"
             assert [attempt.request for attempt in server.attempts] == [b"%016x" % 1, b"%016x" % 3]
 
     run(scenario)
--- a/tests/integration/test_nonblocking_log.py
+++ b/tests/integration/test_nonblocking_log.py
@@ -31,22 +31,22 @@
     async def scenario() -> None:
         reader, writer = os.pipe()
         fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
-        async with GatewayCluster(tmp_path, servers=2, stderr=writer) as world:
-            process = world.start()
+        async with GatewayCluster(tmp_path, servers=2, stderr=writer) as cluster:
+            process = cluster.start()
             os.close(writer)
-            await world.ready()
-            client = await world.connect()
-            world.file(0).write_text("{nope")
+            await cluster.wait_until_ready()
+            client = await cluster.connect()
+            cluster.configuration_file(0).write_text("{nope")
             for request in range(1, LINES):
                 process.send_signal(signal.SIGHUP)
                 client.writer.write(request_command(request, 2_000))
                 async with asyncio.timeout(2.0):
-                    assert await client.answer() == b"%016x" % request
+                    assert await client.read_answer() == b"%016x" % request
                 if request % 20 == 0:
                     await asyncio.sleep(1.0)  # so many lines may come in each second
             log = await read_all(reader, b"dropped")
             assert EXPECTED_LINE in log
-            assert await world.stop() == 0
+            assert await cluster.stop() == 0
         os.close(reader)
 
     run(scenario)
--- a/tests/integration/test_process.py
+++ b/tests/integration/test_process.py
@@ -11,7 +11,7 @@
 
 from tests.support.gateway_process import (
     NAMED_SETTINGS,
-    PROCESS_TIMEOUT,
+    PROCESS_TIMEOUT_S,
     Peers,
     StartGateway,
     accept,
@@ -35,7 +35,7 @@
         ping(client)
         process.send_signal(signal.SIGTERM)
         assert client.recv(64) == b""  # closed as it is idle
-    assert process.wait(timeout=PROCESS_TIMEOUT) == 0
+    assert process.wait(timeout=PROCESS_TIMEOUT_S) == 0
     assert process.communicate() == (b"", b"")
 
 
@@ -79,7 +79,7 @@
                 process.send_signal(signal.SIGTERM)
                 assert client.recv(64) == b"-ERR failed\r\n"
                 assert client.recv(64) == b""
-        assert process.wait(timeout=PROCESS_TIMEOUT) == 0
+        assert process.wait(timeout=PROCESS_TIMEOUT_S) == 0
 
 
 def test_signals_up_to_the_end_do_not_change_the_exit_status(
@@ -104,7 +104,7 @@
         assert watch.recv(4096).startswith(b"GET /v1/servers?watch=1&from=0 HTTP/1.1\r\n")
         ping(client)
         process.send_signal(signal.SIGTERM)
-    assert process.wait(timeout=PROCESS_TIMEOUT) == 0
+    assert process.wait(timeout=PROCESS_TIMEOUT_S) == 0
     assert b"can't be read" in process.communicate()[1]
 
 
@@ -135,5 +135,5 @@
             stack.enter_context(accept(new_counter, process))
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)
-        assert process.wait(timeout=PROCESS_TIMEOUT) == 0
+        assert process.wait(timeout=PROCESS_TIMEOUT_S) == 0
         assert process.communicate() == (b"", b"")
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -31,8 +31,8 @@
     return SentRequest(class_name, 10.0, 1.0, False, [answer] if answer else [], answered_at)
 
 
-def attempt(at: float = 10.1, deadline_ms: int = 600, ended_at: float = 10.4) -> Attempt:
-    return Attempt("s-0", REQUEST, deadline_ms, at, ended_at)
+def attempt(received_at: float = 10.1, time_remaining_ms: int = 600, ended_at: float = 10.4) -> Attempt:
+    return Attempt("s-0", REQUEST, time_remaining_ms, received_at, ended_at)
 
 
 def test_no_rule_is_broken_under_signals_in_series_load_and_the_earliest_kill() -> None:
@@ -53,7 +53,7 @@
         (judge(sent(answered_at=11.6), attempt()), "answered 0.600 s after its deadline"),
         (judge(sent(b"order"), attempt(), attempt(10.4)), "forwarded 2 times"),
         (judge(sent(), attempt(), attempt(10.3)), "has two attempts in flight"),
-        (judge(sent(), attempt(deadline_ms=1_200)), "passed on with 0.300 s more than remained"),
+        (judge(sent(), attempt(time_remaining_ms=1_200)), "passed on with 0.300 s more than remained"),
         (judge(sent(), attempt(), draining_since=9.5), "s-0 got 1 attempts after its drain grace"),
     ],
 )
@@ -70,7 +70,7 @@
     for result, outcome in (
         (judge(sent(), attempt(), attempt(10.4), draining_since=10.0), "served"),
         (judge(sent(answer=b"-BUSY later", answered_at=11.4)), "-BUSY"),
-        (judge(sent(answer=b"-ERR failed"), attempt(deadline_ms=1_000)), "-ERR"),
+        (judge(sent(answer=b"-ERR failed"), attempt(time_remaining_ms=1_000)), "-ERR"),
         (judge(crossed), "crossed the close"),
         (judge(first, limited=True), "crossed the close"),
     ):
--- a/tests/integration/test_stepped_clock.py
+++ b/tests/integration/test_stepped_clock.py
@@ -28,7 +28,7 @@
     served = 0
     for number in numbers:
         client.writer.write(request_command(number, 3_000, tenant=number))
-        served += await client.answer() == b"%016x" % number
+        served += await client.read_answer() == b"%016x" % number
     return served
 
 
@@ -56,7 +56,7 @@
             if reported_by == "cached list":
                 warming_up.started_at_ms = int(time.time() * 1e3)
             cluster.start()
-            await cluster.ready()
+            await cluster.wait_until_ready()
             client = await cluster.connect()
             assert await serve_in_turn(client, range(1, 60)) > 50  # shows how much a warm server answers
             if reported_by == "delta":
@@ -90,7 +90,7 @@
                 for client in clients:
                     request += 1
                     client.writer.write(request_command(request, 3_000, tenant=9, spread=3))
-                    served += await client.answer() == b"%016x" % request
+                    served += await client.read_answer() == b"%016x" % request
             allowed = BURST + RATE * (loop.time() - started_at)
             assert served > BURST / 2
             assert served <= allowed + QUOTA_SLACK, (served, allowed)
--- a/tests/integration/test_system_calls.py
+++ b/tests/integration/test_system_calls.py
@@ -27,7 +27,7 @@
     for request in range(number * REQUESTS, (number + 1) * REQUESTS):
         client.writer.write(request_command(request, TIME_REMAINING_MS, tenant=number))
         async with asyncio.timeout(TIME_REMAINING_MS / 1e3 + 1.0):
-            answer = await client.answer()
+            answer = await client.read_answer()
         answers[SERVED if answer == b"%016x" % request else answer] += 1
         if answer == NO_ANSWER:
             return
@@ -64,7 +64,7 @@
         async with running_cluster(servers=2, environments={0: environment}) as cluster:
             client = await cluster.connect()
             client.writer.write(request_command(1, TIME_REMAINING_MS))
-            assert await client.answer() == b"%016x" % 1
+            assert await client.read_answer() == b"%016x" % 1
             assert await cluster.stop() == 0
 
     run(scenario)
@@ -77,7 +77,7 @@
         environment = faulty_environment(fault("bind", "EACCES", 1, UNLIMITED))
         async with make_cluster(servers=1, environments={0: environment}) as cluster:
             cluster.start()
-            assert await cluster.exit_status() == 2
+            assert await cluster.wait_for_exit() == 2
             assert cluster.log(0).count("\n") == 1
             assert cluster.log(0).startswith("rushroad: can't start: [Errno 13]")
 
@@ -149,7 +149,7 @@
         async with running_cluster(servers=1, environments={0: environment}) as cluster:
             new_discovery = DiscoveryAgent(cluster.rate_servers)
             await new_discovery.listen()
-            cluster.configure(0, discovery=new_discovery.address)
+            cluster.write_configuration(0, discovery=new_discovery.address)
             switch.touch()
             cluster.processes[0].send_signal(signal.SIGHUP)
             async with asyncio.timeout(4.0):  # after that, a gateway counts as knowing what discovery has
@@ -177,9 +177,9 @@
             process.send_signal(signal.SIGTERM)
             switch.touch()
             process.send_signal(signal.SIGCONT)
-            assert all([await client.answer() for client in clients])
+            assert all([await client.read_answer() for client in clients])
             for client in clients:
                 client.writer.close()
-            assert await cluster.exit_status() == 0
+            assert await cluster.wait_for_exit() == 0
 
     run(scenario)
--- a/tests/integration/test_unavailable_peers.py
+++ b/tests/integration/test_unavailable_peers.py
@@ -19,7 +19,7 @@
 from tests.support.client_side import PING, PONG
 from tests.support.gateway_process import (
     GATEWAY_HOST,
-    PROCESS_TIMEOUT,
+    PROCESS_TIMEOUT_S,
     RUN_COMMAND,
     accept,
     configuration,
@@ -81,13 +81,13 @@
         assert watch.recv(4096).startswith(b"GET /v1/servers?watch=1&from=41 ")
         send_snapshot(watch, port_of(server))
         client = stack.enter_context(connect(gateway_port, process))
-        numbers, last = itertools.count(1), time.monotonic() + PROCESS_TIMEOUT
+        numbers, last = itertools.count(1), time.monotonic() + PROCESS_TIMEOUT_S
         while not select.select([server], [], [], 0)[0]:  # until the snapshot is known
             client.sendall(call(next(numbers), b"c=lookup,t=basic,d=900,units=1,spread=1,first=0"))
             assert client.recv(64)
             assert time.monotonic() < last, "no request is forwarded to the endpoint of the new snapshot"
         process.send_signal(signal.SIGTERM)
-        assert process.wait(timeout=PROCESS_TIMEOUT) == 0
+        assert process.wait(timeout=PROCESS_TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize(
@@ -108,7 +108,7 @@
         client.sendall(PING)
         assert client.recv(64) == PONG
         process.send_signal(signal.SIGTERM)
-        assert process.wait(timeout=PROCESS_TIMEOUT) == 0
+        assert process.wait(timeout=PROCESS_TIMEOUT_S) == 0
 
 
 def fill_backlog(peer: socket.socket, stack: contextlib.ExitStack) -> None:
--- a/tests/support/gateway_cluster.py
+++ b/tests/support/gateway_cluster.py
@@ -1,4 +1,4 @@
-"""Real gateway processes between clients, rate servers, a discovery agent and a counter on loopback."""
+"""Runs real gateway processes with rate servers, a discovery agent and a counter on loopback."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 from rushroad.bench.stand_ins.counter import Counter
 from rushroad.proxy import resp
 from tests.support.discovery_agent import DiscoveryAgent
-from tests.support.gateway_process import PROCESS_TIMEOUT, ROOT, RUN_COMMAND
+from tests.support.gateway_process import PROCESS_TIMEOUT_S, ROOT, RUN_COMMAND
 from tests.support.rate_server import Attempt, RateServer
 
-GATEWAYS_HOST = "127.91.0.2"  # an address on which nothing else takes ports
-TICK = 0.01  # seconds between looks at processes, and at how late this process itself is
+CLUSTER_HOST = "127.91.0.2"  # no other program takes ports on this address, so a free port stays free
+POLL_INTERVAL_S = 0.01  # of process states, and of this process's own event loop lag
 
 
 class ClientConnection:
-    """A client's connection: writes commands, reads answers in their order."""
+    """A client connection: commands are written to `writer`, and `read_answer` returns answers in order."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    async def answer(self) -> bytes:
-        """The next answer: a value, or the whole line; b"" where the connection has ended."""
+    async def read_answer(self) -> bytes:
+        """Return the next answer: a value, or a whole line of another type; b"" at the end of input."""
         try:
             line = await self.reader.readline()
             if line.startswith(b"$"):
@@ -53,30 +53,30 @@
     units: int = 1,
     body: bytes = b"BODY",
 ) -> bytes:
-    """A client's command for a request of the class `name`; the class `quote` has no body."""
-    terms = b"c=%b,t=small,d=%d,units=%d,spread=%d,first=0" % (name, time_remaining_ms, units, spread)
+    """Encode a client's command for a request of the class `name`; the class `quote` has no body."""
+    options = b"c=%b,t=small,d=%d,units=%d,spread=%d,first=0" % (name, time_remaining_ms, units, spread)
     words = [b"CALL.GET" if name == b"quote" else b"CALL.POST", b"%016x" % tenant, b"%016x" % request]
-    return resp.pack([*words, terms] if name == b"quote" else [*words, terms, body])
+    return resp.pack([*words, options] if name == b"quote" else [*words, options, body])
 
 
 @dataclass
 class GatewayCluster:
-    """Gateway processes as the deploy file starts them, and all their peers; they end with the context.
+    """Gateway processes, started with the command in the deploy file, and all their peers.
 
-    Gateways are known by their number, from 0.
+    The context manager kills the processes on exit. Gateways are numbered from 0.
     """
 
-    folder: Path
+    directory: Path
     servers: int = 6
     gateways: int = 1
-    work: float = 0.0  # seconds that a rate server takes for a request
+    service_time_s: float = 0.0  # of a rate server for each request
     settings: dict[str, Any] = field(default_factory=dict)
-    environments: Mapping[int, Mapping[str, str]] = field(default_factory=dict)  # by number of the gateway
+    environments: Mapping[int, Mapping[str, str]] = field(default_factory=dict)  # by gateway number
     sockets: int = 1_024
-    stderr: Any = None  # of the processes; a file for each where it is None
+    stderr: Any = None  # of the processes; None writes a log file for each
 
     async def __aenter__(self) -> GatewayCluster:
-        self.rate_servers = [RateServer(f"s-{number}", self.work) for number in range(self.servers)]
+        self.rate_servers = [RateServer(f"s-{number}", self.service_time_s) for number in range(self.servers)]
         for server in self.rate_servers:
             await server.listen()
         self.discovery = DiscoveryAgent(self.rate_servers)
@@ -84,7 +84,7 @@
         self.counter = Counter(1, asyncio.get_running_loop())
         self.counter_address = await self.counter.listen()
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
-        self.max_loop_lag = 0.0  # seconds for which the machine held this process up
+        self.max_loop_lag = 0.0  # seconds, of this process
         self._lag_monitor = asyncio.create_task(self._measure_loop_lag())
         self.ports = {number: self._free_port() for number in range(self.gateways)}
         return self
@@ -93,36 +93,36 @@
         loop = asyncio.get_running_loop()
         while True:
             before = loop.time()
-            await asyncio.sleep(TICK)
-            self.max_loop_lag = max(self.max_loop_lag, loop.time() - before - TICK)
+            await asyncio.sleep(POLL_INTERVAL_S)
+            self.max_loop_lag = max(self.max_loop_lag, loop.time() - before - POLL_INTERVAL_S)
 
     def timing_allowance(self) -> float:
-        """Seconds that a busy machine may add to what is measured here.
+        """Return the seconds that a busy machine may add to times measured by this process.
 
-        A gateway may be held up as long as this process was, when it reads and when it writes, and this
-        process when it reads the result. On a quiet machine it is milliseconds.
+        A gateway may be delayed as long as this process was, both when it reads and when it writes, and this
+        process when it reads the result. On an idle machine the allowance is a few milliseconds.
         """
         return 3 * self.max_loop_lag
 
     @staticmethod
     def _free_port() -> int:
-        with socket.create_server((GATEWAYS_HOST, 0)) as listener:
+        with socket.create_server((CLUSTER_HOST, 0)) as listener:
             port: int = listener.getsockname()[1]
             return port
 
-    def file(self, number: int) -> Path:
-        """A gateway's configuration file."""
-        return self.folder / f"n{number}.json"
+    def configuration_file(self, number: int) -> Path:
+        """Return the path of a gateway's configuration file."""
+        return self.directory / f"n{number}.json"
 
     def log(self, number: int) -> str:
-        """What a gateway has written to standard error, where that is a file."""
-        return (self.folder / f"n{number}.log").read_text()
+        """Return what a gateway has written to standard error; empty if `stderr` is set."""
+        return (self.directory / f"n{number}.log").read_text()
 
-    def configure(self, number: int, **changed: Any) -> None:
-        """Write a gateway's configuration file, with these keys changed."""
+    def write_configuration(self, number: int, **overrides: Any) -> None:
+        """Write a gateway's configuration file, with some keys replaced."""
         document = {
             "name": f"n{number}",
-            "listen": f"{GATEWAYS_HOST}:{self.ports[number]}",
+            "listen": f"{CLUSTER_HOST}:{self.ports[number]}",
             "discovery": self.discovery.address,
             "counter": self.counter_address,
             "seed": f"{number + 1:016x}",
@@ -130,13 +130,13 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
             "settings": gateway_settings(self.gateways, number) | self.settings,
         }
-        self.file(number).write_text(json.dumps(document | changed))
+        self.configuration_file(number).write_text(json.dumps(document | overrides))
 
     def start(self, number: int = 0) -> subprocess.Popen[bytes]:
-        """Start a gateway; it is not ready yet."""
-        self.configure(number)
-        environment = os.environ | {"EDGE_CONFIG": str(self.file(number))}
-        with (self.folder / f"n{number}.log").open("ab") as log:
+        """Start a gateway's process, without waiting until it is ready."""
+        self.write_configuration(number)
+        environment = os.environ | {"EDGE_CONFIG": str(self.configuration_file(number))}
+        with (self.directory / f"n{number}.log").open("ab") as log:
             self.processes[number] = subprocess.Popen(
                 ["/bin/sh", "-c", f"ulimit -n {self.sockets}; {RUN_COMMAND}"],
                 cwd=ROOT,
@@ -147,40 +147,40 @@
             )
         return self.processes[number]
 
-    async def ready(self, number: int = 0) -> None:
+    async def wait_until_ready(self, number: int = 0) -> None:
         """Wait until a gateway answers PING."""
-        deadline = time.monotonic() + PROCESS_TIMEOUT
+        deadline = time.monotonic() + PROCESS_TIMEOUT_S
         while time.monotonic() < deadline:
             assert self.processes[number].poll() is None, self.log(number)
             with suppress(ConnectionError):
                 client = await self.connect(number)
                 client.writer.write(resp.pack([b"PING"]))
-                if await client.answer() == b"+PONG":
+                if await client.read_answer() == b"+PONG":
                     client.writer.close()
                     return
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(POLL_INTERVAL_S)
         raise AssertionError(f"gateway {number} does not answer PING")
 
     async def connect(self, number: int = 0) -> ClientConnection:
-        """A client's connection to a gateway."""
-        return ClientConnection(*await asyncio.open_connection(GATEWAYS_HOST, self.ports[number]))
+        """Open a client connection to a gateway."""
+        return ClientConnection(*await asyncio.open_connection(CLUSTER_HOST, self.ports[number]))
 
     def attempts(self) -> list[Attempt]:
-        """All attempts that have come to rate servers, in order."""
+        """Return all attempts received by rate servers, in order."""
         attempts = [attempt for server in self.rate_servers for attempt in server.attempts]
-        return sorted(attempts, key=lambda attempt: attempt.at)
+        return sorted(attempts, key=lambda attempt: attempt.received_at)
 
-    async def exit_status(self, number: int = 0) -> int:
-        """Wait until a gateway's process has ended."""
-        async with asyncio.timeout(PROCESS_TIMEOUT):
+    async def wait_for_exit(self, number: int = 0) -> int:
+        """Wait until a gateway's process has exited; return its exit status."""
+        async with asyncio.timeout(PROCESS_TIMEOUT_S):
             while (status := self.processes[number].poll()) is None:
-                await asyncio.sleep(TICK)
+                await asyncio.sleep(POLL_INTERVAL_S)
         return status
 
     async def stop(self, number: int = 0) -> int:
-        """End a gateway by SIGTERM; its exit status."""
+        """Stop a gateway with SIGTERM; return its exit status."""
         self.processes[number].send_signal(signal.SIGTERM)
-        return await self.exit_status(number)
+        return await self.wait_for_exit(number)
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
@@ -194,5 +194,5 @@
             server.close()
 
 
-ClusterFactory = Callable[..., GatewayCluster]  # with the fields but `folder`
-RunningCluster = Callable[..., AbstractAsyncContextManager[GatewayCluster]]  # the same, started and ready
+ClusterFactory = Callable[..., GatewayCluster]  # takes the fields except `directory`
+RunningCluster = Callable[..., AbstractAsyncContextManager[GatewayCluster]]  # same; its gateways are ready
--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -1,4 +1,4 @@
-"""One gateway process as the deploy file starts it, and the sockets of its peers, for synchronous tests."""
+"""Runs one gateway process with the command in the deploy file; its peers are sockets of the test."""
 
 import contextlib
 import os
@@ -16,9 +16,9 @@
 
 ROOT = Path(__file__).parent.parent.parent
 RUN_COMMAND = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
-GATEWAY_HOST = "127.91.0.1"  # an address on which nothing else takes ports
-StartGateway = Callable[[str | None], subprocess.Popen[bytes]]  # with the text of its configuration
-PROCESS_TIMEOUT = 30.0  # seconds after which a process that does nothing fails the test
+GATEWAY_HOST = "127.91.0.1"  # no other program takes ports on this address, so a free port stays free
+StartGateway = Callable[[str | None], subprocess.Popen[bytes]]  # takes the text of the configuration file
+PROCESS_TIMEOUT_S = 30.0  # an unresponsive process fails the test after this time
 NAMED_SETTINGS = {
     **SETTINGS_DOCUMENT,
     "classes": [{**SETTINGS_DOCUMENT["classes"][0], "name": "lookup"}],
@@ -28,19 +28,19 @@
 
 
 def free_port() -> int:
-    """A port on which a gateway can listen."""
+    """Return a port on which a gateway can listen."""
     with socket.create_server((GATEWAY_HOST, 0)) as listener:
         return port_of(listener)
 
 
 def port_of(listener: socket.socket) -> int:
-    """The port of a listening socket."""
+    """Return the port of a listening socket."""
     port: int = listener.getsockname()[1]
     return port
 
 
 def configuration(discovery_port: int, counter_port: int, listen_port: int) -> dict[str, Any]:
-    """A gateway's configuration, with one endpoint that refuses connections in its cached list."""
+    """Return a gateway's configuration; the one endpoint in its cached snapshot refuses connections."""
     endpoint = {"instanceId": "s-1", "hostPort": "127.0.0.1:9", "lifecycle": "SERVING", "startedAtMs": 0}
     return {
         "name": "n0",
@@ -56,55 +56,55 @@
 
 @dataclass
 class Peers:
-    """The peers of one gateway process, each a listening socket, and the port that the gateway is given."""
+    """Listening sockets in place of a gateway's discovery agent and counter, and the gateway's own port."""
 
     discovery: socket.socket
     counter: socket.socket
     listen_port: int
 
     def configuration(self) -> dict[str, Any]:
-        """The gateway's configuration with these peers."""
+        """Return the configuration of a gateway with these peers."""
         return configuration(port_of(self.discovery), port_of(self.counter), self.listen_port)
 
 
 def listen() -> socket.socket:
-    """A listening socket of a peer; it does not wait for a gateway for longer than PROCESS_TIMEOUT."""
+    """Open a listening socket for a peer; `accept` on it times out after PROCESS_TIMEOUT_S."""
     listener = socket.create_server(("127.0.0.1", 0))
-    listener.settimeout(PROCESS_TIMEOUT)
+    listener.settimeout(PROCESS_TIMEOUT_S)
     return listener
 
 
 def accept(listener: socket.socket, process: subprocess.Popen[bytes]) -> socket.socket:
-    """The process's next connection; fails with the process's output if the process has ended."""
-    deadline = time.monotonic() + PROCESS_TIMEOUT
+    """Accept the process's next connection; fails with the process's output if it has exited."""
+    deadline = time.monotonic() + PROCESS_TIMEOUT_S
     while not select.select([listener], [], [], 0.05)[0]:
         assert process.poll() is None, process.communicate()
         assert time.monotonic() < deadline, "the gateway does not connect"
     connection, _ = listener.accept()
-    connection.settimeout(PROCESS_TIMEOUT)
+    connection.settimeout(PROCESS_TIMEOUT_S)
     return connection
 
 
 def connect(listen_port: int, process: subprocess.Popen[bytes]) -> socket.socket:
-    """A client's connection, as soon as the process listens; fails if the process has ended."""
-    deadline = time.monotonic() + PROCESS_TIMEOUT
+    """Open a client connection as soon as the process listens; fails if the process has exited."""
+    deadline = time.monotonic() + PROCESS_TIMEOUT_S
     while True:
         assert process.poll() is None, process.communicate()
         try:
-            return socket.create_connection((GATEWAY_HOST, listen_port), timeout=PROCESS_TIMEOUT)
+            return socket.create_connection((GATEWAY_HOST, listen_port), timeout=PROCESS_TIMEOUT_S)
         except ConnectionRefusedError:
             assert time.monotonic() < deadline, "the gateway does not listen"
 
 
 @contextlib.contextmanager
 def running_gateway(
-    folder: Path, configuration_text: str | None, command: str = RUN_COMMAND
+    directory: Path, configuration_text: str | None, command: str = RUN_COMMAND
 ) -> Iterator[subprocess.Popen[bytes]]:
-    """The process, killed in the end; its configuration file is missing where the text is None."""
-    path = folder / "config.json"
+    """Run a gateway process and kill it on exit; with None as text, its configuration file does not exist."""
+    path = directory / "config.json"
     path.write_text(configuration_text or "")
     if configuration_text is None:
-        path = folder / "missing.json"
+        path = directory / "missing.json"
     with subprocess.Popen(
         ["/bin/sh", "-c", command],
         cwd=ROOT,
--- a/tests/support/rate_server.py
+++ b/tests/support/rate_server.py
@@ -1,4 +1,4 @@
-"""A rate server on loopback that records the attempts that come to it."""
+"""A rate server on loopback that records the attempts that it receives."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from rushroad.bench.stand_ins.replies import Replies, Reply
 from rushroad.proxy import resp
 
-DEADLINE = re.compile(rb"(?:^|,)d=(\d+)(?:,|$)")
+TIME_REMAINING = re.compile(rb"(?:^|,)d=(\d+)(?:,|$)")
 
 
 @dataclass(slots=True)
 class Attempt:
-    """A command that a rate server has received whole. Times are in seconds of the test's loop."""
+    """A complete command received by a rate server. Times are in seconds of the test's event loop."""
 
     server: str
     request: bytes
-    deadline_ms: int  # milliseconds until the deadline, as the gateway passed it on
-    at: float
-    ended_at: float = math.inf  # when its answer was written or its connection ended
+    time_remaining_ms: int  # as passed on by the gateway
+    received_at: float
+    ended_at: float = math.inf  # when its response was written or its connection closed
 
 
 class _Connection(asyncio.Protocol):
@@ -49,14 +49,14 @@
 
 
 class RateServer:
-    """Answers each request with its id after `service_time` seconds; not at all while it hangs."""
+    """Responds to each request with its id after `service_time_s`; not at all while it hangs."""
 
-    def __init__(self, name: str, service_time: float) -> None:
-        self.name, self.service_time, self.hangs = name, service_time, False
+    def __init__(self, name: str, service_time_s: float) -> None:
+        self.name, self.service_time_s, self.hangs = name, service_time_s, False
         self.started_at_ms, self.lifecycle = 0, "SERVING"
-        self.draining_since = math.inf  # when the endpoint list first said so
-        self.value = b""  # of each answer; the request's id where it is empty
-        self.figures = b"$-1\r\n"  # the part of each answer that tells a tenant's use
+        self.draining_since = math.inf  # when discovery published the draining state
+        self.value = b""  # of each response; the request's id if empty
+        self.usage_figures = b"$-1\r\n"  # of each response, encoded
         self.attempts: list[Attempt] = []
         self.connections: set[_Connection] = set()
         self.address = ""
@@ -69,26 +69,26 @@
         self.address = f"127.0.0.1:{self._listener.sockets[0].getsockname()[1]}"
 
     def receive(self, words: list[bytes], connection: _Connection) -> None:
-        """Record an attempt and answer it after the service time."""
+        """Record an attempt and respond to it after the service time."""
         loop, reply = asyncio.get_running_loop(), connection.replies.reserve()
-        deadline = DEADLINE.search(words[3])
-        assert deadline is not None, words
-        attempt = Attempt(self.name, words[2], int(deadline[1]), loop.time())
+        time_remaining = TIME_REMAINING.search(words[3])
+        assert time_remaining is not None, words
+        attempt = Attempt(self.name, words[2], int(time_remaining[1]), loop.time())
         self.attempts.append(attempt)
         connection.in_flight.append(attempt)
         if not self.hangs:
-            loop.call_later(self.service_time, self._answer, connection, reply, attempt)
+            loop.call_later(self.service_time_s, self._respond, connection, reply, attempt)
 
-    def _answer(self, connection: _Connection, reply: Reply, attempt: Attempt) -> None:
+    def _respond(self, connection: _Connection, reply: Reply, attempt: Attempt) -> None:
         if not connection.transport.is_closing():
             connection.in_flight.remove(attempt)
             attempt.ended_at = asyncio.get_running_loop().time()
             value = self.value or attempt.request
-            answer = b"*3\r\n$%d\r\n%b\r\n%b$-1\r\n" % (len(value), value, self.figures)
-            connection.replies.fill(reply, answer)
+            response = b"*3\r\n$%d\r\n%b\r\n%b$-1\r\n" % (len(value), value, self.usage_figures)
+            connection.replies.fill(reply, response)
 
     def entry(self) -> dict[str, Any]:
-        """Its entry in the endpoint list, in discovery's form."""
+        """Return the server's entry in the endpoint list, in discovery's format."""
         return {
             "instanceId": self.name,
             "hostPort": self.address,
--- a/tests/support/soak_judgement.py
+++ b/tests/support/soak_judgement.py
@@ -88,17 +88,17 @@
         if EFFECT_BY_CLASS[request.class_name] == "once" and len(attempts) > 1:
             self._violation(f"{request_id!r} forwarded {len(attempts)} times")
         for attempt, following in pairwise(attempts):
-            if following.at < attempt.ended_at - self._allowance:
+            if following.received_at < attempt.ended_at - self._allowance:
                 self._violation(f"{request_id!r} has two attempts in flight")
         for attempt in attempts:
             deadline = request.sent_at + request.time_remaining
-            excess = attempt.at + attempt.deadline_ms / 1e3 - deadline
+            excess = attempt.received_at + attempt.time_remaining_ms / 1e3 - deadline
             if excess > DEADLINE_SLACK + self._allowance:
                 self._violation(f"{request_id!r} passed on with {excess:.3f} s more than remained")
 
     def _judge_draining(self, server: RateServer) -> None:
         allowed_until = server.draining_since + DRAIN_GRACE + self._allowance
-        late = sum(attempt.at > allowed_until for attempt in server.attempts)
+        late = sum(attempt.received_at > allowed_until for attempt in server.attempts)
         if late:
             self._violation(f"{server.name} got {late} attempts after its drain grace")
 
