--- a/tests/integration/soak.py
+++ b/tests/integration/soak.py
@@ -1,6 +1,6 @@
-"""A seeded soak: a real gateway under load, disturbances, signals in series, shutdown and the earliest kill.
+"""A seeded soak of a real gateway: load, disruptions, repeated signals, shutdown and the earliest kill.
 
-Every rule is judged from outside, by what clients sent and received and by what came to rate servers:
+All rules are checked from outside, by what clients sent and received and by what rate servers received:
 
     python -m tests.integration.soak --seeds 50 --first 1 --jobs 4
 """
@@ -27,32 +27,35 @@
     EFFECT_BY_CLASS,
     INCONCLUSIVE,
     SentRequest,
-    SoakJudge,
+    SoakChecker,
     SoakResult,
 )
 
-KILL_AFTER, KILL_MARGIN = 3.0, 0.7  # seconds: SIGKILL comes that long after SIGTERM at the earliest
+KILL_AFTER_S, KILL_MARGIN_S = (
+    3.0,
+    0.7,
+)  # SIGKILL follows SIGTERM after min(deadline, KILL_AFTER_S) + KILL_MARGIN_S
 MAX_RUNS = 3  # of a seed, while its runs are inconclusive
-CROSSING = 0.1  # seconds between a write and the close of its connection in which they may cross
-MAX_PAUSE = 0.15  # seconds that a gateway may be held up; deadlines, windows and the grace allow for that
-IDLE_CLIENTS = 120  # more than a gateway with FEW_SOCKETS has for clients
+CLOSE_RACE_S = 0.1  # a write and the close of its connection may race within this time
+MAX_STALL_S = 0.15  # of a gateway; deadlines, deduplication windows and the drain grace allow for it
+IDLE_CLIENTS = 120  # more connections than a gateway with FEW_SOCKETS accepts from clients
 FEW_SOCKETS, SOCKETS = 128, 1_024
 
 
-def settings(deadline: float) -> dict[str, Any]:
-    """Three request classes, one of each effect, with this deadline in seconds."""
-    microseconds = int(deadline * 1e6)
+def request_class_settings(deadline_s: float) -> dict[str, Any]:
+    """Return settings with one request class for each effect, all with this deadline."""
+    deadline_us = int(deadline_s * 1e6)
     return {
         "classes": [
             {
                 "name": name.decode(),
                 "effect": effect,
                 "gain": 1.0,
-                "giveUpUs": microseconds,
+                "giveUpUs": deadline_us,
                 "group": "all",
-                "goalTimeUs": int(microseconds * 0.8),
+                "goalTimeUs": int(deadline_us * 0.8),
                 "lateWorth": 0.0,
-                "windowUs": microseconds,
+                "windowUs": deadline_us,
                 "streamed": False,
             }
             for name, effect in EFFECT_BY_CLASS.items()
@@ -61,47 +64,46 @@
 
 
 class SoakRun:
-    """One run. Its seed decides load, disturbances and signals."""
+    """One run, whose seed determines the load, the disruptions and the signals."""
 
     def __init__(self, seed: int) -> None:
         self.result = SoakResult(seed)
         self._random = Random(seed)
-        self._deadline = self._random.choice([0.6, 1.0, 2.0, 3.0, 10.0])  # seconds
+        self._deadline_s = self._random.choice([0.6, 1.0, 2.0, 3.0, 10.0])
         self._connections_limited = self._random.random() < 0.25
         self._requests: dict[bytes, SentRequest] = {}  # by id
-        self._stopped = False  # clients send no more
+        self._is_stopped = False  # if true, clients send no more requests
 
-    async def play(self) -> None:
-        """Play the run and judge it."""
-        with tempfile.TemporaryDirectory() as folder:
+    async def execute(self) -> None:
+        """Run the gateway under load, then check the rules."""
+        with tempfile.TemporaryDirectory() as directory:
             async with GatewayCluster(
-                Path(folder),
+                Path(directory),
                 servers=6,
                 sockets=FEW_SOCKETS if self._connections_limited else SOCKETS,
                 service_time_s=self._random.choice([0.005, 0.05, 0.2]),
-                settings=settings(self._deadline),
+                settings=request_class_settings(self._deadline_s),
             ) as cluster:
-                exit_status = await self._load(cluster)
-                self._judge(cluster, exit_status)
+                exit_status = await self._run_load(cluster)
+                self._check(cluster, exit_status)
 
-    async def _load(self, cluster: GatewayCluster) -> int | None:
-        """Play clients, disturbances and the shutdown; the exit status, or None if it had to be killed."""
+    async def _run_load(self, cluster: GatewayCluster) -> int | None:
+        """Run clients, disruptions and the shutdown; return the exit status, or None if it was killed."""
         random, process = self._random, cluster.start()
         await cluster.wait_until_ready()
         idle = [await cluster.connect() for _ in range(IDLE_CLIENTS if self._connections_limited else 0)]
         loop = asyncio.get_running_loop()
         clients = [
-            loop.create_task(self._use_connections(cluster, client))
-            for client in range(random.randrange(4, 20))
+            loop.create_task(self._run_client(cluster, client)) for client in range(random.randrange(4, 20))
         ]
         for _ in range(random.randrange(1, 5)):
             await asyncio.sleep(random.uniform(0.05, 0.5))
-            await self._disturb(cluster)
+            await self._disrupt(cluster)
         if random.random() < 0.5:
             for server in cluster.rate_servers[: random.randrange(1, 4)]:
                 server.hangs = True
         exit_status = await self._shut_down(process)
-        self._stopped = True
+        self._is_stopped = True
         process.kill()
         process.wait()
         await asyncio.wait(clients)
@@ -110,9 +112,9 @@
         return exit_status
 
     async def _shut_down(self, process: Popen[bytes]) -> int | None:
-        """SIGTERM, more signals, and the wait until the earliest kill; the exit status, or None."""
+        """Send SIGTERM and further signals; return the exit status, or None if it has to be killed."""
         loop = asyncio.get_running_loop()
-        kill_at = loop.time() + min(self._deadline, KILL_AFTER) + KILL_MARGIN
+        kill_at = loop.time() + min(self._deadline_s, KILL_AFTER_S) + KILL_MARGIN_S
         process.send_signal(signal.SIGTERM)
         for _ in range(self._random.randrange(4)):
             await asyncio.sleep(self._random.uniform(0.0, 0.3))
@@ -122,8 +124,8 @@
             await asyncio.sleep(POLL_INTERVAL_S)
         return process.poll()
 
-    async def _disturb(self, cluster: GatewayCluster) -> None:
-        """New configurations, a drain, a hang, resets, a gateway held up, or a counter that is away."""
+    async def _disrupt(self, cluster: GatewayCluster) -> None:
+        """Reload the configuration, drain or hang a server, reset connections, stall gateway or counter."""
         random, process = self._random, cluster.processes[0]
         server = random.choice(cluster.rate_servers)
         match random.randrange(6):
@@ -142,28 +144,28 @@
                     connection.transport.abort()
             case 4:
                 process.send_signal(signal.SIGSTOP)
-                await asyncio.sleep(MAX_PAUSE)
+                await asyncio.sleep(MAX_STALL_S)
                 process.send_signal(signal.SIGCONT)
             case 5:
                 cluster.counter.set_mode(random.choice(list(CounterMode)), 1, random.uniform(0.01, 0.2))
 
-    async def _use_connections(self, cluster: GatewayCluster, client: int) -> None:
-        """One client: sends batches on a connection as long as it stays open, then opens another."""
+    async def _run_client(self, cluster: GatewayCluster, client: int) -> None:
+        """Run one client, which sends batches on a connection and reconnects after a close."""
         random = Random(self.result.seed * 1_000 + client)
         connection: ClientConnection | None = None
-        fresh = True  # no request has been sent on the connection
-        while not self._stopped:
+        is_unused = True  # no request has been sent on the connection
+        while not self._is_stopped:
             if connection is None:
                 try:
-                    connection, fresh = await cluster.connect(), True
+                    connection, is_unused = await cluster.connect(), True
                 except OSError:
                     await asyncio.sleep(POLL_INTERVAL_S)
                     continue
             size = random.choice([1, 1, 1, 3, 80])
-            batch = [self._request(random, client, fresh and place == 0) for place in range(size)]
+            batch = [self._create_request(random, client, is_unused and index == 0) for index in range(size)]
             connection.writer.write(b"".join(command for _, command in batch))
-            fresh = False
-            if not await self._take_answers([request for request, _ in batch], connection, cluster):
+            is_unused = False
+            if not await self._read_answers([request for request, _ in batch], connection, cluster):
                 connection.writer.close()
                 connection = None
             elif random.random() < 0.1:
@@ -171,36 +173,36 @@
         if connection is not None:
             connection.writer.close()
 
-    def _request(self, random: Random, client: int, first: bool) -> tuple[SentRequest, bytes]:
-        """A new request and its command."""
+    def _create_request(self, random: Random, client: int, first: bool) -> tuple[SentRequest, bytes]:
+        """Create a request and its command."""
         name = random.choice(list(EFFECT_BY_CLASS))
-        time_remaining = self._deadline * random.uniform(0.2, 1.0)
+        time_remaining_s = self._deadline_s * random.uniform(0.2, 1.0)
         number = len(self._requests) + 1
-        command = request_command(number, max(1, int(time_remaining * 1e3)), tenant=client, name=name)
-        request = SentRequest(name, asyncio.get_running_loop().time(), time_remaining, first)
+        command = request_command(number, max(1, int(time_remaining_s * 1e3)), tenant=client, name=name)
+        request = SentRequest(name, asyncio.get_running_loop().time(), time_remaining_s, first)
         self._requests[b"%016x" % number] = request
         return request, command
 
     @staticmethod
-    async def _take_answers(
+    async def _read_answers(
         batch: list[SentRequest], connection: ClientConnection, cluster: GatewayCluster
     ) -> bool:
-        """Record the answers to a batch in their order; false where the connection ended before the last."""
+        """Record the answers to a batch in order; return False if the connection closed before the last."""
         loop, answered_at = asyncio.get_running_loop(), 0.0
-        for place, request in enumerate(batch):
+        for index, request in enumerate(batch):
             answer = await connection.read_answer()
             request.previous_answered_at, answered_at = answered_at, loop.time()
             if not answer:
-                crossing = answered_at - request.sent_at < CROSSING + cluster.timing_allowance()
-                for unanswered in batch[place:]:
-                    # Closed between batches: the gateway has read none of these.
-                    unanswered.crossed_close = not place and crossing
+                is_race = answered_at - request.sent_at < CLOSE_RACE_S + cluster.timing_allowance()
+                for unanswered in batch[index:]:
+                    # The connection was closed between batches: the gateway has read none of these requests.
+                    unanswered.raced_with_close = not index and is_race
                 return False
             request.answers.append(answer)
             request.answered_at = answered_at
         return True
 
-    def _judge(self, cluster: GatewayCluster, exit_status: int | None) -> None:
+    def _check(self, cluster: GatewayCluster, exit_status: int | None) -> None:
         result, log = self.result, cluster.log(0)
         if exit_status not in (None, 0):
             result.violations.append(f"exit status {exit_status}")
@@ -208,44 +210,44 @@
         if "Traceback" in log:
             result.violations.append(f"log: {log[-300:]!r}")
         result.max_loop_lag = cluster.max_loop_lag
-        if result.max_loop_lag > MAX_PAUSE:
+        if result.max_loop_lag > MAX_STALL_S:
             result.outcomes[INCONCLUSIVE] += 1
         else:
-            judge = SoakJudge(result, cluster.timing_allowance(), self._connections_limited)
-            judge.judge(self._requests, cluster)
+            checker = SoakChecker(result, cluster.timing_allowance(), self._connections_limited)
+            checker.check(self._requests, cluster)
 
 
 async def soak(first: int, seeds: int, jobs: int) -> list[SoakResult]:
-    """The results of runs with these seeds, `jobs` at a time; each is printed when it is there."""
+    """Run these seeds, `jobs` at a time, printing each result as it completes; return the results."""
     semaphore = asyncio.Semaphore(jobs)
 
-    async def play_seed(seed: int) -> SoakResult:
+    async def run_seed(seed: int) -> SoakResult:
         for _ in range(MAX_RUNS):
             run = SoakRun(seed)
             async with semaphore:
-                await run.play()
+                await run.execute()
             if not run.result.outcomes[INCONCLUSIVE]:
                 break
         result = run.result
-        lag = f"this process held up for {result.max_loop_lag:.3f} s at most"
+        lag = f"maximum event loop lag of this process {result.max_loop_lag:.3f} s"
         print(f"seed {seed}: {dict(result.outcomes)}, {lag}", *result.violations[:5], sep="\n  ", flush=True)
         return result
 
-    return await asyncio.gather(*(play_seed(seed) for seed in range(first, first + seeds)))
+    return await asyncio.gather(*(run_seed(seed) for seed in range(first, first + seeds)))
 
 
 def main() -> int:
-    """Returns 1 where a run broke a rule."""
+    """Run the soak; return 1 if a run broke a rule."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--jobs", type=int, default=4)
     options = parser.parse_args()
     results = uvloop.run(soak(options.first, options.seeds, options.jobs))
-    broken = [result.seed for result in results if result.violations]
+    failed_seeds = [result.seed for result in results if result.violations]
     total: Counter[str] = sum((result.outcomes for result in results), Counter())
-    print(f"{len(results)} runs, {dict(total)}; broken: {broken or 'none'}")
-    return 1 if broken else 0
+    print(f"{len(results)} runs, {dict(total)}; seeds with violations: {failed_seeds or 'none'}")
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/tests/integration/test_system_calls.py
+++ b/tests/integration/test_system_calls.py
@@ -153,7 +153,7 @@
             switch.touch()
             cluster.processes[0].send_signal(signal.SIGHUP)
             async with asyncio.timeout(4.0):  # after that, a gateway counts as knowing what discovery has
-                await new_discovery.watched.wait()
+                await new_discovery.watch_requested.wait()
             new_discovery.close()
             assert await cluster.stop() == 0
 
--- a/tests/support/discovery_agent.py
+++ b/tests/support/discovery_agent.py
@@ -1,4 +1,4 @@
-"""A discovery agent on loopback that serves watches of a list of rate servers."""
+"""A discovery agent on loopback that serves watches of an endpoint list of rate servers."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from tests.support.rate_server import RateServer
 
 FIRST_GENERATION = 41
-HEARTBEAT_INTERVAL = 1.0  # seconds between empty lines of a watch
+HEARTBEAT_INTERVAL_S = 1.0  # a heartbeat is an empty line
 
 
 class DiscoveryAgent:
-    """Sends a watch the whole list, or the changes since the generation that the watch asks from."""
+    """Sends each watch a snapshot, or the deltas since the generation in its request."""
 
     def __init__(self, servers: list[RateServer]) -> None:
         self._servers, self.generation = servers, FIRST_GENERATION
         self._history: list[tuple[int, bytes]] = []  # generation, delta
         self._watches: set[asyncio.StreamWriter] = set()
-        self.watched = asyncio.Event()  # a watch has come
+        self.watch_requested = asyncio.Event()
         self.address = ""
         self._listener: asyncio.Server
 
@@ -31,12 +31,12 @@
         self.address = f"127.0.0.1:{self._listener.sockets[0].getsockname()[1]}"
 
     def snapshot(self) -> dict[str, Any]:
-        """The whole list in discovery's form."""
+        """Return a snapshot of the endpoint list in discovery's format."""
         entries = [server.entry() for server in self._servers]
         return {"generation": self.generation, "reset": True, "instances": entries}
 
     def publish(self, *servers: RateServer) -> None:
-        """Send a delta with the entries of these servers."""
+        """Send a delta with the entries of these servers to all watches."""
         self.generation += 1
         entries = [server.entry() for server in servers]
         delta = {"generation": self.generation, "reset": False, "instances": entries}
@@ -52,7 +52,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             head = await reader.readuntil(b"\r\n\r\n")
-            self.watched.set()
+            self.watch_requested.set()
             match = re.search(rb"from=(\d+)", head)
             since = int(match[1]) if match else 0
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -63,7 +63,7 @@
                 self._write_chunk(writer, b"\n" + b"".join(missed))
             self._watches.add(writer)
             while not writer.transport.is_closing():
-                await asyncio.sleep(HEARTBEAT_INTERVAL)
+                await asyncio.sleep(HEARTBEAT_INTERVAL_S)
                 self._write_chunk(writer, b"\n")
         self._watches.discard(writer)
 
