--- a/tests/integration/test_stepped_clock.py
+++ b/tests/integration/test_stepped_clock.py
@@ -46,12 +46,14 @@
 
 
 @pytest.mark.parametrize("reported_by", ["cached list", "delta"])
-@pytest.mark.parametrize("clock_step", [0, HOUR, 20, -HOUR])
+@pytest.mark.parametrize("clock_offset_s", [0, HOUR, 20, -HOUR])
 def test_just_started_server_is_warming_up_whatever_the_wall_clock_says(
-    make_cluster: ClusterFactory, clock_step: int, reported_by: str
+    make_cluster: ClusterFactory, clock_offset_s: int, reported_by: str
 ) -> None:
     async def scenario() -> None:
-        async with make_cluster(environments={0: faulty_environment(clock_step=clock_step)}) as cluster:
+        async with make_cluster(
+            environments={0: faulty_environment(clock_offset_s=clock_offset_s)}
+        ) as cluster:
             warming_up = cluster.rate_servers[0]
             if reported_by == "cached list":
                 warming_up.started_at_ms = int(time.time() * 1e3)
@@ -74,12 +76,12 @@
     run(scenario)
 
 
-@pytest.mark.parametrize("clock_step", [0, HOUR, -HOUR, 7])
+@pytest.mark.parametrize("clock_offset_s", [0, HOUR, -HOUR, 7])
 def test_gateway_with_a_wrong_clock_opens_no_second_quota(
-    running_cluster: RunningCluster, clock_step: int
+    running_cluster: RunningCluster, clock_offset_s: int
 ) -> None:
     async def scenario() -> None:
-        environments = {1: faulty_environment(clock_step=clock_step)}
+        environments = {1: faulty_environment(clock_offset_s=clock_offset_s)}
         async with running_cluster(
             gateways=3, settings={"packages": [PLAN]}, environments=environments
         ) as cluster:
--- a/tests/integration/test_system_calls.py
+++ b/tests/integration/test_system_calls.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.support.discovery_agent import DiscoveryAgent
-from tests.support.faults import UNLIMITED, fault, faulty_environment
+from tests.support.faults import UNLIMITED, fault_rule, faulty_environment
 from tests.support.gateway_cluster import ClusterFactory, GatewayCluster, RunningCluster, request_command
 from tests.support.loopback import run
 
@@ -42,16 +42,16 @@
 
 OPEN_ERRORS = ("ENFILE", "EMFILE", "ENOMEM", "EIO", "EINTR")
 START_FAULTS = [
-    *[fault("socket", error, 4) for error in ("ENOBUFS", "ENOMEM", "ENFILE", "EMFILE")],
-    *[fault("socket", "ENOBUFS", first) for first in (1, 2, 3)],
-    *[fault("bind", error, 1) for error in ("EADDRNOTAVAIL", "EADDRINUSE", "ENOBUFS", "ENOMEM")],
-    fault("bind", "EADDRINUSE", 1, 20),
-    *[fault("listen", error, first) for error in ("ENOBUFS", "EADDRINUSE") for first in (1, 2)],
-    *[fault("open", error, first) for error in OPEN_ERRORS for first in (1, 2)],
-    *[fault("setsockopt", "ENOBUFS", first) for first in (1, 2, 3, 4, 5)],
-    *[fault("getsockname", "ENOBUFS", first) for first in (1, 2)],
-    *[fault("epoll_ctl", "ENOMEM", first) for first in (1, 2, 3, 4)],
-    fault("epoll_wait", "EINTR", 1, UNLIMITED, 2),
+    *[fault_rule("socket", error, 4) for error in ("ENOBUFS", "ENOMEM", "ENFILE", "EMFILE")],
+    *[fault_rule("socket", "ENOBUFS", first) for first in (1, 2, 3)],
+    *[fault_rule("bind", error, 1) for error in ("EADDRNOTAVAIL", "EADDRINUSE", "ENOBUFS", "ENOMEM")],
+    fault_rule("bind", "EADDRINUSE", 1, 20),
+    *[fault_rule("listen", error, first) for error in ("ENOBUFS", "EADDRINUSE") for first in (1, 2)],
+    *[fault_rule("open", error, first) for error in OPEN_ERRORS for first in (1, 2)],
+    *[fault_rule("setsockopt", "ENOBUFS", first) for first in (1, 2, 3, 4, 5)],
+    *[fault_rule("getsockname", "ENOBUFS", first) for first in (1, 2)],
+    *[fault_rule("epoll_ctl", "ENOMEM", first) for first in (1, 2, 3, 4)],
+    fault_rule("epoll_wait", "EINTR", 1, UNLIMITED, 2),
 ]
 
 
@@ -60,7 +60,7 @@
     running_cluster: RunningCluster, start_fault: str
 ) -> None:
     async def scenario() -> None:
-        environment = faulty_environment(start_fault, file=CONFIGURATION_FILE)
+        environment = faulty_environment(start_fault, file_suffix=CONFIGURATION_FILE)
         async with running_cluster(servers=2, environments={0: environment}) as cluster:
             client = await cluster.connect()
             client.writer.write(request_command(1, TIME_REMAINING_MS))
@@ -74,7 +74,7 @@
     make_cluster: ClusterFactory,
 ) -> None:
     async def scenario() -> None:
-        environment = faulty_environment(fault("bind", "EACCES", 1, UNLIMITED))
+        environment = faulty_environment(fault_rule("bind", "EACCES", 1, UNLIMITED))
         async with make_cluster(servers=1, environments={0: environment}) as cluster:
             cluster.start()
             assert await cluster.wait_for_exit() == 2
@@ -123,10 +123,12 @@
     tmp_path: Path, running_cluster: RunningCluster, system_call: str, error: str
 ) -> None:
     async def scenario() -> None:
-        switch = tmp_path / "failing"
-        environment = faulty_environment(fault(system_call, error, 1, UNLIMITED, 3), switch=switch)
+        switch_file = tmp_path / "failing"
+        environment = faulty_environment(
+            fault_rule(system_call, error, 1, UNLIMITED, 3), switch_file=switch_file
+        )
         async with running_cluster(servers=3, environments={0: environment}) as cluster:
-            switch.touch()
+            switch_file.touch()
             answers = await use_connections(cluster)
             assert answers.total() == CLIENTS * REQUESTS
             assert not answers[NO_ANSWER], answers
@@ -144,13 +146,15 @@
     tmp_path: Path, running_cluster: RunningCluster, error: str
 ) -> None:
     async def scenario() -> None:
-        switch = tmp_path / "failing"
-        environment = faulty_environment(fault("open", error, 1, 3), file=CONFIGURATION_FILE, switch=switch)
+        switch_file = tmp_path / "failing"
+        environment = faulty_environment(
+            fault_rule("open", error, 1, 3), file_suffix=CONFIGURATION_FILE, switch_file=switch_file
+        )
         async with running_cluster(servers=1, environments={0: environment}) as cluster:
             new_discovery = DiscoveryAgent(cluster.rate_servers)
             await new_discovery.listen()
             cluster.write_configuration(0, discovery=new_discovery.address)
-            switch.touch()
+            switch_file.touch()
             cluster.processes[0].send_signal(signal.SIGHUP)
             async with asyncio.timeout(4.0):  # after that, a gateway counts as knowing what discovery has
                 await new_discovery.watch_requested.wait()
@@ -166,8 +170,8 @@
 ) -> None:
     # The system has received their requests; closing the listener would reset them.
     async def scenario() -> None:
-        switch = tmp_path / "failing"
-        environment = faulty_environment(fault("accept", error, 1, 12), switch=switch)
+        switch_file = tmp_path / "failing"
+        environment = faulty_environment(fault_rule("accept", error, 1, 12), switch_file=switch_file)
         async with running_cluster(servers=1, environments={0: environment}) as cluster:
             process = cluster.processes[0]
             process.send_signal(signal.SIGSTOP)
@@ -175,7 +179,7 @@
             for number, client in enumerate(clients):
                 client.writer.write(request_command(number, TIME_REMAINING_MS))
             process.send_signal(signal.SIGTERM)
-            switch.touch()
+            switch_file.touch()
             process.send_signal(signal.SIGCONT)
             assert all([await client.read_answer() for client in clients])
             for client in clients:
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -1,4 +1,4 @@
-"""Environments in which system calls of a gateway process fail, or its wall clock is wrong."""
+"""Environments in which system calls of a gateway process fail, or its wall clock is offset."""
 
 import errno
 import functools
@@ -8,12 +8,12 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("faults.c")
-UNLIMITED = 1 << 30  # as the last call of a rule: there is none
+UNLIMITED = 1 << 30  # as the last call of a rule: it applies to all further calls
 
 
 @functools.cache
 def compiled_library() -> str:
-    """The path of the library for LD_PRELOAD."""
+    """Compile the library for LD_PRELOAD; return its path."""
     library = Path(tempfile.mkdtemp(prefix="faults")) / "faults.so"
     subprocess.run(
         ["cc", "-shared", "-fPIC", "-O1", "-Wall", "-o", str(library), str(SOURCE), "-ldl"], check=True
@@ -21,26 +21,26 @@
     return str(library)
 
 
-def fault(call: str, error: str, first: int, last: int | None = None, every: int = 1) -> str:
-    """Of the calls numbered `first` to `last`, every `every`-th fails; only the first of them by default."""
+def fault_rule(call: str, error: str, first: int, last: int | None = None, every: int = 1) -> str:
+    """Return a rule: of the calls `first` to `last`, by default only `first`, every `every`-th fails."""
     return f"{call}:{getattr(errno, error)}:{first}:{first if last is None else last}:{every}"
 
 
 def faulty_environment(
-    *faults: str, clock_step: int = 0, file: str = "", switch: Path | None = None
+    *rules: str, clock_offset_s: int = 0, file_suffix: str = "", switch_file: Path | None = None
 ) -> dict[str, str]:
-    """The environment of a gateway whose calls fail so.
+    """Return the environment of a gateway process whose system calls fail by these rules.
 
-    clock_step: seconds by which its wall clock is wrong; file: the end of the name of the file whose opening
-    may fail; switch: calls fail only while this file exists.
+    clock_offset_s: offset of its wall clock; file_suffix: rules for `open` apply to files whose names end
+    with it; switch_file: calls fail only while this file exists.
     """
     environment = {
         "LD_PRELOAD": compiled_library(),
-        "FAULTS": ",".join(faults),
-        "CLOCK_STEP": str(clock_step),
+        "FAULTS": ",".join(rules),
+        "CLOCK_OFFSET_S": str(clock_offset_s),
     }
-    if file:
-        environment["FAULTS_FILE"] = file
-    if switch is not None:
-        environment["FAULTS_AT"] = os.fspath(switch)
+    if file_suffix:
+        environment["FAULTS_OPEN_SUFFIX"] = file_suffix
+    if switch_file is not None:
+        environment["FAULTS_SWITCH_FILE"] = os.fspath(switch_file)
     return environment
