--- a/tests/integration/test_actual_units.py
+++ b/tests/integration/test_actual_units.py
@@ -1,4 +1,4 @@
-"""Quotas where the units of a request are estimates: in the end the actual units of responses count."""
+"""Quotas when the units of requests are estimates: the actual units in responses are what counts."""
 
 import asyncio
 from pathlib import Path
@@ -9,7 +9,7 @@
 from tests.support.gateway_cluster import GatewayCluster, request_command
 from tests.support.loopback import run
 
-BURST, RATE, ACTUAL_UNITS = 12.0, 1.0, 4
+BURST, RATE, ACTUAL_UNITS = 12.0, 1.0, 4  # units, units per second, units of each request
 PLAN = {"name": "small", "quotaRate": RATE, "mostAtOnce": BURST, "neverOverRate": 0.0}
 
 
@@ -27,12 +27,12 @@
                 await cluster.wait_until_ready(number)
                 clients.append(await cluster.connect(number))
             loop = asyncio.get_running_loop()
-            began, served = loop.time(), 0
+            started_at, served = loop.time(), 0
             for request in range(40):
                 client = clients[request % gateways]
                 client.writer.write(request_command(request, 3_000, tenant=9, spread=gateways))
                 served += await client.read_answer() == b"%016x" % request
-            allowed = (BURST + RATE * (loop.time() - began)) / ACTUAL_UNITS
+            allowed = (BURST + RATE * (loop.time() - started_at)) / ACTUAL_UNITS
             # Each gateway learns the actual units of its last request only afterwards.
             assert 0 < served <= allowed + gateways
 
--- a/tests/integration/test_arrival_times.py
+++ b/tests/integration/test_arrival_times.py
@@ -1,4 +1,4 @@
-"""The deadline passed on to rate servers, of requests that waited before the gateway read them."""
+"""Deadlines passed on to rate servers for requests that waited before the gateway read them."""
 
 import asyncio
 import signal
@@ -9,15 +9,15 @@
 from tests.support.gateway_cluster import GatewayCluster, request_command
 from tests.support.loopback import resp, run
 
-DEADLINE_SLACK = 0.15  # seconds by which the deadline passed on may exceed the client's
-ANSWER_SLACK = 0.05  # seconds after the client's deadline in which an answer still counts
+DEADLINE_SLACK_S = 0.15  # by which the deadline passed on may exceed the client's
+ANSWER_SLACK_S = 0.05  # an answer this long after the client's deadline is still in time
 CLIENT_TIMEOUT_MS = 1_500
-SMALL_PIPELINE = 200  # commands that any machine reads at once
-STALL = 0.6  # seconds
+SMALL_PIPELINE = 200  # commands, few enough for any machine to read without delay
+STALL_S = 0.6
 
 
 @pytest.mark.parametrize(("commands", "service_time_s"), [(200, 0.4), (200, 0.1), (3_000, 0.02)])
-def test_a_long_pipeline_passes_on_no_later_deadline_than_the_clients(
+def test_long_pipeline_passes_on_no_later_deadline_than_the_client_set(
     tmp_path: Path, commands: int, service_time_s: float
 ) -> None:
     async def scenario() -> None:
@@ -29,25 +29,26 @@
             client.writer.write(
                 b"".join(request_command(number, CLIENT_TIMEOUT_MS, tenant=number) for number in numbers)
             )
-            sent = loop.time()
-            answered = []
+            sent_at = loop.time()
+            latencies = []
             for _ in numbers:
                 assert await client.read_answer()
-                answered.append(loop.time() - sent)
+                latencies.append(loop.time() - sent_at)
             attempts = cluster.attempts()
             assert len(attempts) > 40, len(attempts)
             excess = [
-                a.received_at + a.time_remaining_ms / 1e3 - sent - CLIENT_TIMEOUT_MS / 1e3 for a in attempts
+                a.received_at + a.time_remaining_ms / 1e3 - sent_at - CLIENT_TIMEOUT_MS / 1e3
+                for a in attempts
             ]
-            assert max(excess) <= DEADLINE_SLACK + cluster.timing_allowance()
-            if commands <= SMALL_PIPELINE:  # reading thousands takes as long as the machine needs
-                assert max(answered) <= CLIENT_TIMEOUT_MS / 1e3 + ANSWER_SLACK + cluster.timing_allowance()
+            assert max(excess) <= DEADLINE_SLACK_S + cluster.timing_allowance()
+            if commands <= SMALL_PIPELINE:  # the time to read thousands depends on the machine
+                assert max(latencies) <= CLIENT_TIMEOUT_MS / 1e3 + ANSWER_SLACK_S + cluster.timing_allowance()
 
     run(scenario)
 
 
 @pytest.mark.parametrize("new_connection", [False, True])
-def test_input_that_arrived_while_the_process_was_stalled_counts_from_its_arrival(
+def test_time_remaining_counts_from_arrival_while_the_process_is_stalled(
     tmp_path: Path, new_connection: bool
 ) -> None:
     async def scenario() -> None:
@@ -60,14 +61,14 @@
             process.send_signal(signal.SIGSTOP)
             client = await cluster.connect() if new_connection else client
             client.writer.write(request_command(1, CLIENT_TIMEOUT_MS))
-            sent = loop.time()
-            await asyncio.sleep(STALL)  # the time itself is what is tested
+            sent_at = loop.time()
+            await asyncio.sleep(STALL_S)  # the stall itself is under test
             process.send_signal(signal.SIGCONT)
             assert await client.read_answer() == b"%016x" % 1
             (attempt,) = cluster.attempts()
             assert (
-                attempt.received_at + attempt.time_remaining_ms / 1e3 - sent
-                <= CLIENT_TIMEOUT_MS / 1e3 + DEADLINE_SLACK + cluster.timing_allowance()
+                attempt.received_at + attempt.time_remaining_ms / 1e3 - sent_at
+                <= CLIENT_TIMEOUT_MS / 1e3 + DEADLINE_SLACK_S + cluster.timing_allowance()
             )
 
     run(scenario)
--- a/tests/integration/test_largest_values.py
+++ b/tests/integration/test_largest_values.py
@@ -1,4 +1,4 @@
-"""Values of 64 KiB, the largest that the protocol allows, through a real gateway."""
+"""Values of 64 KiB, the largest that the protocol allows, forwarded by a real gateway."""
 
 from rushroad.bench.real.gateway_settings import gateway_settings
 from tests.support.gateway_cluster import RunningCluster, request_command
--- a/tests/integration/test_nonblocking_log.py
+++ b/tests/integration/test_nonblocking_log.py
@@ -1,4 +1,4 @@
-"""The log of a gateway process: where nobody reads it, lines are dropped and requests go on."""
+"""The log of a gateway process: if nobody reads it, lines are dropped and requests are still served."""
 
 import asyncio
 import fcntl
@@ -10,21 +10,21 @@
 from tests.support.loopback import run
 
 PIPE_BYTES = 4_096
-LINES = 120  # more than such a pipe holds
+LINES = 120  # more than a pipe of PIPE_BYTES holds
 EXPECTED_LINE = b"the new configuration can't be read"
 
 
-async def read_all(descriptor: int, until: bytes) -> bytes:
-    """What a pipe holds and gets until these words have come."""
-    got = b""
+async def read_until(descriptor: int, end: bytes) -> bytes:
+    """Read from a pipe until the data contains `end`."""
+    data = b""
     os.set_blocking(descriptor, False)
     async with asyncio.timeout(5.0):
-        while until not in got:
+        while end not in data:
             try:
-                got += os.read(descriptor, 1 << 16)
+                data += os.read(descriptor, 1 << 16)
             except BlockingIOError:
                 await asyncio.sleep(0.01)
-    return got
+    return data
 
 
 def test_log_pipe_without_a_reader_drops_lines_and_does_not_block_the_gateway(tmp_path: Path) -> None:
@@ -43,8 +43,8 @@
                 async with asyncio.timeout(2.0):
                     assert await client.read_answer() == b"%016x" % request
                 if request % 20 == 0:
-                    await asyncio.sleep(1.0)  # so many lines may come in each second
-            log = await read_all(reader, b"dropped")
+                    await asyncio.sleep(1.0)  # the log accepts a limited number of lines per second
+            log = await read_until(reader, b"dropped")
             assert EXPECTED_LINE in log
             assert await cluster.stop() == 0
         os.close(reader)
