--- a/tests/integration/test_large_endpoint_list.py
+++ b/tests/integration/test_large_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The program with an endpoint list of the largest fleet: its start, and its memory."""
+"""Startup and memory use of the gateway with the endpoint list of the largest fleet."""
 
 import contextlib
 import json
@@ -11,33 +11,37 @@
 from tests.support.watch import HEAD, chunk, list_entries, list_line
 
 ENDPOINTS = 97_000
-MAX_MEMORY = 128_000  # KB
+MAX_RESIDENT_KIB = 128_000
 
 
 def test_process_starts_from_97000_endpoints_within_its_memory_limit(tmp_path: Path) -> None:
     with contextlib.ExitStack() as stack:
         peers = [stack.enter_context(socket.create_server((LOCAL, 0))) for _ in range(3)]
         discovery, counter, endpoint = (peer.getsockname()[1] for peer in peers)
-        text = configuration(discovery, counter, free_port())
+        document = configuration(discovery, counter, free_port())
         fields = {"zone": "a", "machineType": "m2", "cell": 3, "weight": 1.0, "startedAtMs": 0}
         fields["hostPort"] = f"{LOCAL}:{endpoint}"
-        listed = [entry | fields for entry in list_entries(ENDPOINTS)]
-        known = json.dumps({"generation": 41, "reset": True, "instances": listed}, indent=2)
-        text |= {"known": "KNOWN", "settings": text["settings"] | {"fleetSize": 4_900}}
-        process = stack.enter_context(running_gateway(tmp_path, json.dumps(text).replace('"KNOWN"', known)))
+        entries = [entry | fields for entry in list_entries(ENDPOINTS)]
+        cached_snapshot = json.dumps({"generation": 41, "reset": True, "instances": entries}, indent=2)
+        document |= {"known": "KNOWN", "settings": document["settings"] | {"fleetSize": 4_900}}
+        process = stack.enter_context(
+            running_gateway(tmp_path, json.dumps(document).replace('"KNOWN"', cached_snapshot))
+        )
         stack.callback(process.kill)
         watch = stack.enter_context(peers[0].accept()[0])
         assert watch.recv(4096).startswith(b"GET /v1/servers?watch=1&from=41 ")
-        client = stack.enter_context(connect(int(text["listen"].split(":")[1]), process))
+        client = stack.enter_context(connect(int(document["listen"].split(":")[1]), process))
         client.sendall(call(1, b"c=lookup,t=basic,d=9000,units=1,spread=1,first=0"))
         attempt = stack.enter_context(peers[2].accept()[0])
         assert attempt.recv(4096) != b""
         attempt.sendall(OK)
         assert client.recv(64) == b"$5\r\nvalue\r\n"
-        newer = known.replace('"generation": 41', '"generation": 42') + "\n"
-        watch.sendall(HEAD + chunk(newer.encode()) + chunk(b"\n" + list_line(43, lifecycle="DRAINING")))
-        watch.close()  # when all of it has been decoded, another is opened
+        new_snapshot = cached_snapshot.replace('"generation": 41', '"generation": 42') + "\n"
+        watch.sendall(
+            HEAD + chunk(new_snapshot.encode()) + chunk(b"\n" + list_line(43, lifecycle="DRAINING"))
+        )
+        watch.close()  # the gateway opens another one when it has decoded all data
         while b"from=43 " not in stack.enter_context(peers[0].accept()[0]).recv(4096):
             pass
         status = Path(f"/proc/{process.pid}/status").read_text()
-        assert int(status.split("VmHWM:")[1].split()[0]) < MAX_MEMORY
+        assert int(status.split("VmHWM:")[1].split()[0]) < MAX_RESIDENT_KIB
--- a/tests/integration/test_process.py
+++ b/tests/integration/test_process.py
@@ -1,4 +1,4 @@
-"""The gateway process: start, configuration errors, signals, exit status."""
+"""The gateway process: startup, configuration errors, signals, exit status."""
 
 import json
 import signal
@@ -34,7 +34,7 @@
         assert watch.recv(4096).startswith(b"GET /v1/servers?watch=1&from=41 HTTP/1.1\r\n")
         ping(client)
         process.send_signal(signal.SIGTERM)
-        assert client.recv(64) == b""  # closed as it is idle
+        assert client.recv(64) == b""  # closed because it is idle
     assert process.wait(timeout=PROCESS_TIMEOUT_S) == 0
     assert process.communicate() == (b"", b"")
 
@@ -66,7 +66,7 @@
 def test_request_without_an_answer_fails_before_its_deadline_after_sigterm(
     peers: Peers, start_gateway: StartGateway
 ) -> None:
-    # The process may be killed some seconds after SIGTERM, however long clients would wait.
+    # The process may be killed some seconds after SIGTERM, regardless of the deadlines of its clients.
     request_class = NAMED_SETTINGS["classes"][0] | {"giveUpUs": 90_000_000, "goalTimeUs": 90_000_000}
     document = peers.configuration() | {"settings": NAMED_SETTINGS | {"classes": [request_class]}}
     with listen() as rate_server:
@@ -75,17 +75,17 @@
         with connect(peers.listen_port, process) as client:
             client.sendall(call(1, b"c=lookup,t=basic,d=90000,units=1,spread=1,first=0"))
             with accept(rate_server, process) as attempt:
-                assert attempt.recv(4096) != b""  # it may be executed
+                assert attempt.recv(4096) != b""  # the request may have been executed
                 process.send_signal(signal.SIGTERM)
                 assert client.recv(64) == b"-ERR failed\r\n"
                 assert client.recv(64) == b""
         assert process.wait(timeout=PROCESS_TIMEOUT_S) == 0
 
 
-def test_signals_up_to_the_end_do_not_change_the_exit_status(
+def test_signals_until_the_process_exits_do_not_change_the_exit_status(
     peers: Peers, start_gateway: StartGateway
 ) -> None:
-    # The end of the event loop restores the default handlers, which would end the process by a signal.
+    # Closing the event loop restores the default signal handlers, which would terminate the process.
     process = start_gateway(json.dumps(peers.configuration()))
     with accept(peers.discovery, process), connect(peers.listen_port, process) as client:
         ping(client)
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("known", [None, {}, [], {"generation": 3, "instances": [{}]}])
-def test_gateway_starts_without_a_readable_cached_list(
+def test_gateway_starts_without_a_readable_cached_snapshot(
     peers: Peers, start_gateway: StartGateway, known: Any
 ) -> None:
     process = start_gateway(json.dumps(peers.configuration() | {"counter": "127.0.0.1:1", "known": known}))
@@ -111,7 +111,7 @@
 def test_sighup_moves_the_watch_and_the_counter_and_an_invalid_file_changes_nothing(
     tmp_path: Path, peers: Peers, start_gateway: StartGateway
 ) -> None:
-    # SIGHUP ends a process by default. It may come under load, twice, and during a shutdown.
+    # SIGHUP terminates a process by default. It may arrive under load, twice in a row, and during shutdown.
     process = start_gateway(json.dumps(peers.configuration()))
     with ExitStack() as stack:
         new_discovery, new_counter = stack.enter_context(listen()), stack.enter_context(listen())
--- a/tests/integration/test_stepped_clock.py
+++ b/tests/integration/test_stepped_clock.py
@@ -1,4 +1,4 @@
-"""A wrong wall clock in one gateway's process: neither slow start nor shared quotas may depend on it."""
+"""A wrong wall clock of one gateway: neither slow start nor shared quotas may depend on it."""
 
 import asyncio
 import time
@@ -16,15 +16,15 @@
 from tests.support.loopback import run
 from tests.support.rate_server import RateServer
 
-HOUR = 3_600  # seconds
-MAX_WARMING_UP_SHARE = 0.5  # of a warm server's mean attempts, for one that has just started; it gets less
-BURST, RATE = 10.0, 1.0  # units, units a second
+HOUR_S = 3_600
+MAX_WARMING_UP_SHARE = 0.5  # of the mean attempts of a warm server; a server warming up gets fewer
+BURST, RATE = 10.0, 1.0  # units, units per second
 PLAN = {"name": "small", "quotaRate": RATE, "mostAtOnce": BURST, "neverOverRate": 0.0}
-QUOTA_SLACK = 3.0  # units beyond the quota: one window's boundary, and calls that cross
+QUOTA_SLACK = 3.0  # units above the quota, for one window boundary and concurrent counter calls
 
 
-async def serve_in_turn(client: ClientConnection, numbers: range) -> int:
-    """Send these requests one after the other, each of another tenant; how many were served."""
+async def send_requests(client: ClientConnection, numbers: range) -> int:
+    """Send these requests one after another, each for another tenant; return how many were served."""
     served = 0
     for number in numbers:
         client.writer.write(request_command(number, 3_000, tenant=number))
@@ -33,11 +33,11 @@
 
 
 async def restart(cluster: GatewayCluster, server: RateServer) -> None:
-    """Publish a restart of this server, and wait until the gateway knows of it."""
+    """Publish a restart of this server, and wait until the gateway has applied the delta."""
     server.started_at_ms = int(time.time() * 1e3)
     server.attempts.clear()
     cluster.discovery.publish(server)
-    # A gateway that has closed its connections to a draining server knows of the delta before it too.
+    # A gateway that has closed its connections to a draining server has applied the preceding delta too.
     draining = cluster.rate_servers[1]
     draining.lifecycle = "DRAINING"
     cluster.discovery.publish(draining)
@@ -46,8 +46,8 @@
 
 
 @pytest.mark.parametrize("reported_by", ["cached list", "delta"])
-@pytest.mark.parametrize("clock_offset_s", [0, HOUR, 20, -HOUR])
-def test_just_started_server_is_warming_up_whatever_the_wall_clock_says(
+@pytest.mark.parametrize("clock_offset_s", [0, HOUR_S, 20, -HOUR_S])
+def test_just_started_server_is_warming_up_regardless_of_the_wall_clock(
     make_cluster: ClusterFactory, clock_offset_s: int, reported_by: str
 ) -> None:
     async def scenario() -> None:
@@ -60,13 +60,14 @@
             cluster.start()
             await cluster.wait_until_ready()
             client = await cluster.connect()
-            assert await serve_in_turn(client, range(1, 60)) > 50  # shows how much a warm server answers
+            # These requests show the gateway the throughput of warm servers.
+            assert await send_requests(client, range(1, 60)) > 50
             if reported_by == "delta":
                 await restart(cluster, warming_up)
             serving = [server for server in cluster.rate_servers if server.lifecycle == "SERVING"]
             for server in serving:
                 server.attempts.clear()
-            await serve_in_turn(client, range(100, 300))
+            await send_requests(client, range(100, 300))
             attempts = len(warming_up.attempts)
             others = sum(len(server.attempts) for server in serving) - attempts
             warm_mean = others / (len(serving) - 1)
@@ -76,8 +77,8 @@
     run(scenario)
 
 
-@pytest.mark.parametrize("clock_offset_s", [0, HOUR, -HOUR, 7])
-def test_gateway_with_a_wrong_clock_opens_no_second_quota(
+@pytest.mark.parametrize("clock_offset_s", [0, HOUR_S, -HOUR_S, 7])
+def test_gateway_with_a_wrong_clock_admits_no_second_quota(
     running_cluster: RunningCluster, clock_offset_s: int
 ) -> None:
     async def scenario() -> None:
--- a/tests/integration/test_system_calls.py
+++ b/tests/integration/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, at the start and in service: each request still gets its answer."""
+"""System calls that fail temporarily at startup or in service: each request still gets its answer."""
 
 import asyncio
 import signal
@@ -13,18 +13,18 @@
 from tests.support.loopback import run
 
 TIME_REMAINING_MS = 2_000
-CLIENTS, REQUESTS = 8, 10
+CLIENTS, REQUESTS_PER_CLIENT = 8, 10
 CONFIGURATION_FILE = "n0.json"
-CONNECTION_CALLS = ("connect", "socket", "setsockopt", "getsockname")  # calls that a new connection needs
-MIN_SERVED_FRACTION = 0.5  # where new connections may fail
+CONNECTION_CALLS = ("connect", "socket", "setsockopt", "getsockname")  # made for each new connection
+MIN_SERVED_FRACTION = 0.5  # if new connections may fail
 SERVED = b"served"
-NO_ANSWER = b""  # the connection ended before the answer that was owed on it
+NO_ANSWER = b""  # the connection closed before a due answer
 
 
-async def use_connection(cluster: GatewayCluster, number: int, answers: Counter[bytes]) -> None:
-    """One client's requests, one after the other."""
+async def run_client(cluster: GatewayCluster, number: int, answers: Counter[bytes]) -> None:
+    """Send the requests of one client, one after another, and count the answers."""
     client = await cluster.connect()
-    for request in range(number * REQUESTS, (number + 1) * REQUESTS):
+    for request in range(number * REQUESTS_PER_CLIENT, (number + 1) * REQUESTS_PER_CLIENT):
         client.writer.write(request_command(request, TIME_REMAINING_MS, tenant=number))
         async with asyncio.timeout(TIME_REMAINING_MS / 1e3 + 1.0):
             answer = await client.read_answer()
@@ -33,15 +33,15 @@
             return
 
 
-async def use_connections(cluster: GatewayCluster) -> Counter[bytes]:
-    """All clients at once; how often each answer came."""
+async def run_clients(cluster: GatewayCluster) -> Counter[bytes]:
+    """Run all clients at once; return the counts of their answers."""
     answers: Counter[bytes] = Counter()
-    await asyncio.gather(*(use_connection(cluster, number, answers) for number in range(CLIENTS)))
+    await asyncio.gather(*(run_client(cluster, number, answers) for number in range(CLIENTS)))
     return answers
 
 
 OPEN_ERRORS = ("ENFILE", "EMFILE", "ENOMEM", "EIO", "EINTR")
-START_FAULTS = [
+STARTUP_FAULTS = [
     *[fault_rule("socket", error, 4) for error in ("ENOBUFS", "ENOMEM", "ENFILE", "EMFILE")],
     *[fault_rule("socket", "ENOBUFS", first) for first in (1, 2, 3)],
     *[fault_rule("bind", error, 1) for error in ("EADDRNOTAVAIL", "EADDRINUSE", "ENOBUFS", "ENOMEM")],
@@ -55,12 +55,12 @@
 ]
 
 
-@pytest.mark.parametrize("start_fault", START_FAULTS)
-def test_system_call_that_fails_for_a_moment_at_the_start_does_not_end_the_process(
-    running_cluster: RunningCluster, start_fault: str
+@pytest.mark.parametrize("startup_fault", STARTUP_FAULTS)
+def test_system_call_that_fails_temporarily_at_startup_does_not_end_the_process(
+    running_cluster: RunningCluster, startup_fault: str
 ) -> None:
     async def scenario() -> None:
-        environment = faulty_environment(start_fault, file_suffix=CONFIGURATION_FILE)
+        environment = faulty_environment(startup_fault, file_suffix=CONFIGURATION_FILE)
         async with running_cluster(servers=2, environments={0: environment}) as cluster:
             client = await cluster.connect()
             client.writer.write(request_command(1, TIME_REMAINING_MS))
@@ -70,7 +70,7 @@
     run(scenario)
 
 
-def test_system_call_that_always_fails_at_the_start_ends_the_process_with_one_line(
+def test_system_call_that_always_fails_at_startup_ends_the_process_with_one_line(
     make_cluster: ClusterFactory,
 ) -> None:
     async def scenario() -> None:
@@ -84,7 +84,7 @@
     run(scenario)
 
 
-# Calls of which one in three fails from when the gateway is ready, with errors that their manual pages list.
+# One in three of these calls fails once the gateway is ready, with an error listed in its manual page.
 SERVICE_FAULTS = [
     *[
         ("accept", error)
@@ -129,10 +129,10 @@
         )
         async with running_cluster(servers=3, environments={0: environment}) as cluster:
             switch_file.touch()
-            answers = await use_connections(cluster)
-            assert answers.total() == CLIENTS * REQUESTS
+            answers = await run_clients(cluster)
+            assert answers.total() == CLIENTS * REQUESTS_PER_CLIENT
             assert not answers[NO_ANSWER], answers
-            # A request may be rejected where no connection to a rate server can be made for it.
+            # A request may be rejected if no connection to a rate server can be opened for it.
             served_fraction = 1.0 if system_call not in CONNECTION_CALLS else MIN_SERVED_FRACTION
             assert answers[SERVED] >= served_fraction * answers.total(), answers
             assert "run out" not in cluster.log(0)
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("error", ["ENFILE", "EMFILE", "ENOMEM", "EIO", "ENOENT", "EINTR"])
-def test_new_configuration_that_cannot_be_opened_for_a_moment_is_read_afterwards(
+def test_new_configuration_that_temporarily_cannot_be_opened_is_read_afterwards(
     tmp_path: Path, running_cluster: RunningCluster, error: str
 ) -> None:
     async def scenario() -> None:
@@ -156,7 +156,7 @@
             cluster.write_configuration(0, discovery=new_discovery.address)
             switch_file.touch()
             cluster.processes[0].send_signal(signal.SIGHUP)
-            async with asyncio.timeout(4.0):  # after that, a gateway counts as knowing what discovery has
+            async with asyncio.timeout(4.0):  # a gateway must know discovery's data by then
                 await new_discovery.watch_requested.wait()
             new_discovery.close()
             assert await cluster.stop() == 0
@@ -165,10 +165,10 @@
 
 
 @pytest.mark.parametrize("error", ["ECONNABORTED", "EINTR", "EMFILE", "ENOBUFS", "EPROTO"])
-def test_connections_waiting_at_shutdown_are_accepted_though_accept_fails_for_a_moment(
+def test_connections_pending_at_shutdown_are_accepted_although_accept_fails_temporarily(
     tmp_path: Path, running_cluster: RunningCluster, error: str
 ) -> None:
-    # The system has received their requests; closing the listener would reset them.
+    # The kernel has already received their requests; closing the listener would reset these connections.
     async def scenario() -> None:
         switch_file = tmp_path / "failing"
         environment = faulty_environment(fault_rule("accept", error, 1, 12), switch_file=switch_file)
