--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -1,4 +1,4 @@
-"""What keeps the code readable: no old names, no large files, no long functions."""
+"""Checks that keep the code readable: no former names, no large files, no long functions."""
 
 import ast
 from pathlib import Path
@@ -6,18 +6,18 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-OLD_NAMES = ("moth" + "gap", "lynx" + "reel", "fleet" + "bench")  # of packages and programs
+FORMER_NAMES = ("moth" + "gap", "lynx" + "reel", "fleet" + "bench")  # of packages and programs
 MAX_FILE_LINES = 400
 MAX_FUNCTION_LINES = 40
 PRODUCT_FILES = sorted(path.relative_to(ROOT) for path in (ROOT / "rushroad").rglob("*.py"))
 
 
-@pytest.mark.parametrize("old_name", OLD_NAMES)
-def test_no_file_bears_an_old_name(old_name: str) -> None:
+@pytest.mark.parametrize("former_name", FORMER_NAMES)
+def test_no_file_contains_a_former_name(former_name: str) -> None:
     pages = [*(ROOT / "docs").glob("*.md"), *(ROOT / "deploy").rglob("*.*"), *ROOT.glob("*.*")]
     code = [path for folder in ("rushroad", "tests") for path in (ROOT / folder).rglob("*.*")]
     texts = [path for path in (*pages, *code, ROOT / ".ci/run") if path.is_file() and path.suffix != ".pyc"]
-    assert [str(path) for path in texts if old_name in path.read_text().lower() + path.name.lower()] == []
+    assert [str(path) for path in texts if former_name in path.read_text().lower() + path.name.lower()] == []
 
 
 @pytest.mark.parametrize("path", PRODUCT_FILES, ids=str)
