--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
     if not KNOWN_FAILURES_FILE.exists():
         return {}
     lines = [line.partition(" | ") for line in KNOWN_FAILURES_FILE.read_text().splitlines() if line.strip()]
-    return {test.strip(): reason for test, _, reason in lines}
+    return {test.strip(): cause for test, _, cause in lines}
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
@@ -24,12 +24,12 @@
             f"KNOWN-RED.txt has {len(known_failures)} lines, {MAX_KNOWN_FAILURES} at most"
         )
     files = {item.nodeid.partition("::")[0] for item in items}
-    for test, reason in known_failures.items():
+    for test, cause in known_failures.items():
         matching = [item for item in items if item.nodeid == test or item.nodeid.startswith(f"{test}[")]
         if not matching and test.partition("::")[0] in files and config.args == config.getini("testpaths"):
             raise pytest.UsageError(f"KNOWN-RED.txt names no test of this tree: {test}")
         for item in matching:
-            item.add_marker(pytest.mark.xfail(reason=reason, strict=False))
+            item.add_marker(pytest.mark.xfail(reason=cause, strict=False))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""Clients that close while their requests are in flight: nothing more of them may be forwarded."""
+"""Clients that disconnect with requests in flight: no further attempt of these requests may start."""
 
 import asyncio
 import socket
@@ -29,12 +29,12 @@
 from tests.support.scripted_policy import Script, ScriptedPolicy, install_policy
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER
-ALLOWED_DELAY = 0.1  # seconds after a close in which an attempt may still start
+ALLOWED_DELAY_S = 0.1  # an attempt may still start this long after its client closed
 PIPELINE = b"".join(call(number) for number in range(200))  # more than a connection may have unanswered
 
 
 def retry_after_pause(event: Event) -> Iterator[Action]:
-    """A counter addition, a first attempt, a pause after its outcome, a further attempt."""
+    """Add to the counter, start an attempt on the reply, and another one after a timer on its failure."""
     match event:
         case Request():
             yield CounterAdd(event.id, 1.0, 1_000)
@@ -46,8 +46,8 @@
             yield StartAttempt(event.token, "s-1", LONG)
 
 
-class HeldCounter:
-    """A counter that replies when the test says so."""
+class ManualCounter:
+    """A counter that replies when the test calls `reply_all`."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
@@ -57,34 +57,34 @@
         self.pending.append(name)
 
     def reply_all(self) -> None:
-        """Reply to all additions, with no turn of the loop between them."""
+        """Reply to all additions within one iteration of the event loop."""
         pending, self.pending = self.pending, []
         for name in pending:
             self._engine.post(CounterReply(name, Result.OK, 0, 1.0))
 
 
-class Gateway:
-    """A gateway between one rate server and clients whose sockets act at once, between turns of the loop."""
+class GatewayHarness:
+    """A gateway between one endpoint and clients with plain sockets, which need no iteration of the loop."""
 
     def __init__(self, policy: ScriptedPolicy, engine: Engine, endpoint: Peer) -> None:
         loop = asyncio.get_running_loop()
         self.policy, self.endpoint = policy, endpoint
         self.upstream = engine.backend = Upstream(engine, SETTINGS, 15_000_000, 8, loop)
         self.upstream.update_endpoints(endpoint_at(endpoint.port), True)
-        self.counter = engine.counter = HeldCounter(engine)
+        self.counter = engine.counter = ManualCounter(engine)
         self.listener = ClientListener(engine, SCHEMA, 8, loop)
         self.client: socket.socket
 
     def connect(self) -> socket.socket:
-        """Connect one more client."""
+        """Connect another client."""
         client = socket.create_connection((LOCAL, self.listener.port))
         client.setblocking(False)
         return client
 
     async def serve(self, client: socket.socket, number: int) -> bytes:
-        """Serve a request; return what the endpoint received for it. Its connection is idle afterwards."""
+        """Serve a request; return the data that the endpoint received for it. The connection is idle then."""
         client.sendall(call(number))
-        await until(lambda: bool(self.counter.pending))
+        await wait_until(lambda: bool(self.counter.pending))
         self.counter.reply_all()
         received = b""
         while b"%016x" % number not in received:
@@ -98,22 +98,22 @@
         return sum(isinstance(event, ClientDisconnected) for event in self.policy.events)
 
 
-Scenario = Callable[[Gateway], Awaitable[None]]
-PlayGateway = Callable[[Script, Scenario], None]
+Scenario = Callable[[GatewayHarness], Awaitable[None]]
+RunGateway = Callable[[Script, Scenario], None]
 
 
 @pytest.fixture
-def play_gateway(monkeypatch: pytest.MonkeyPatch) -> PlayGateway:
-    """Runs a scenario with an idle connection to the endpoint, which an attempt takes at once."""
+def run_gateway_scenario(monkeypatch: pytest.MonkeyPatch) -> RunGateway:
+    """Runs a scenario with an idle connection to the endpoint, which the next attempt uses immediately."""
 
-    def play(script: Script, scenario: Scenario) -> None:
+    def run_gateway(script: Script, scenario: Scenario) -> None:
         monkeypatch.setattr("rushroad.proxy.endpoint_pool.SETTLE_TIME", 0.0)
         policy = install_policy(monkeypatch, script)
 
         async def start() -> None:
             engine = Engine(SETTINGS, 1, asyncio.get_running_loop())
             async with Peer() as endpoint:
-                gateway = Gateway(policy, engine, endpoint)
+                gateway = GatewayHarness(policy, engine, endpoint)
                 await gateway.listener.listen(LOCAL, 0)
                 gateway.client = gateway.connect()
                 await gateway.serve(gateway.client, 1)
@@ -123,11 +123,11 @@
 
         run(start)
 
-    return play
+    return run_gateway
 
 
-class ConnectHook:
-    """A loop on which something happens in the very turn in which a connection opens."""
+class ConnectHookLoop:
+    """An event loop that runs an action in the same iteration in which a connection opens."""
 
     def __init__(self, action: Callable[[], None]) -> None:
         self._loop, self._action = asyncio.get_running_loop(), action
@@ -141,8 +141,8 @@
         return getattr(self._loop, name)
 
 
-class PollRecorder:
-    """A loop that records the delays of disconnect polls."""
+class PollRecordingLoop:
+    """An event loop that records the delays of disconnect polls."""
 
     def __init__(self) -> None:
         self._loop, self.delays = asyncio.get_running_loop(), list[float]()
@@ -156,104 +156,106 @@
         return getattr(self._loop, name)
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     while not condition():
         await asyncio.sleep(0)
 
 
-def close(client: socket.socket, abrupt: bool) -> None:
-    if abrupt:
+def close(client: socket.socket, with_reset: bool) -> None:
+    if with_reset:
         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     client.close()
 
 
-@pytest.mark.parametrize("abrupt", [True, False])
+@pytest.mark.parametrize("with_reset", [True, False])
 @pytest.mark.parametrize(
-    ("closes_at", "requests"),
+    ("closes_on", "requests"),
     [(Request, 3), (CounterReply, 1), (CounterReply, 200), (AttemptOutcome, 1), (TimerFired, 1)],
 )
 def test_no_attempt_starts_after_its_client_closed(
-    play_gateway: PlayGateway, closes_at: type[Event], requests: int, abrupt: bool
+    run_gateway_scenario: RunGateway, closes_on: type[Event], requests: int, with_reset: bool
 ) -> None:
-    # It closes while the policy handles an event: the loop has no turn to read that before the next action.
+    # The client closes while the policy handles an event: the loop cannot notice it before the next action.
     closing: list[socket.socket] = []
 
     def script(event: Event) -> Iterator[Action]:
-        if isinstance(event, closes_at) and closing:
-            close(closing.pop(), abrupt)
+        if isinstance(event, closes_on) and closing:
+            close(closing.pop(), with_reset)
         yield from retry_after_pause(event)
 
-    async def scenario(gateway: Gateway) -> None:
+    async def scenario(gateway: GatewayHarness) -> None:
         submitted = min(requests, MAX_UNANSWERED)
-        if closes_at is Request:
+        if closes_on is Request:
             closing.append(gateway.client)
         with gateway.connect() as other:
             gateway.client.sendall(b"".join(call(2 + number) for number in range(requests)))
-            await until(lambda: len(gateway.counter.pending) == submitted)
-            if closes_at is CounterReply:
+            await wait_until(lambda: len(gateway.counter.pending) == submitted)
+            if closes_on is CounterReply:
                 closing.append(gateway.client)
             gateway.counter.reply_all()
-            if closes_at in (AttemptOutcome, TimerFired):
+            if closes_on in (AttemptOutcome, TimerFired):
                 writer, _ = await gateway.endpoint.hear()
                 closing.append(gateway.client)
                 writer.write(b"-ERR failed\r\n")
-            await until(lambda: gateway.cancelled_requests() >= submitted)
-            assert (await gateway.serve(other, 1_000)).count(b"CALL.GET") == 1  # nothing came before it
+            await wait_until(lambda: gateway.cancelled_requests() >= submitted)
+            assert (await gateway.serve(other, 1_000)).count(b"CALL.GET") == 1  # and nothing before it
 
-    play_gateway(script, scenario)
+    run_gateway_scenario(script, scenario)
 
 
-@pytest.mark.parametrize("abrupt", [True, False])
-def test_connection_that_opens_after_the_client_closed_carries_none_of_its_attempts(
-    play_gateway: PlayGateway, abrupt: bool
+@pytest.mark.parametrize("with_reset", [True, False])
+def test_connection_that_opens_after_the_client_closed_is_not_used_for_its_attempts(
+    run_gateway_scenario: RunGateway, with_reset: bool
 ) -> None:
-    async def scenario(gateway: Gateway) -> None:
+    async def scenario(gateway: GatewayHarness) -> None:
         upstream = gateway.upstream
-        upstream.loop = cast(asyncio.AbstractEventLoop, ConnectHook(lambda: close(gateway.client, abrupt)))
+        upstream.loop = cast(
+            asyncio.AbstractEventLoop, ConnectHookLoop(lambda: close(gateway.client, with_reset))
+        )
         upstream.close_idle(upstream.loop.time() + 60.0)
         with gateway.connect() as other:
             gateway.client.sendall(call(2))
-            await until(lambda: bool(gateway.counter.pending))
+            await wait_until(lambda: bool(gateway.counter.pending))
             gateway.counter.reply_all()
-            await until(lambda: gateway.cancelled_requests() == 1)
+            await wait_until(lambda: gateway.cancelled_requests() == 1)
             upstream.loop = asyncio.get_running_loop()
-            assert (await gateway.serve(other, 3)).count(b"CALL.GET") == 1  # nothing came before it
+            assert (await gateway.serve(other, 3)).count(b"CALL.GET") == 1  # and nothing before it
 
-    play_gateway(retry_after_pause, scenario)
+    run_gateway_scenario(retry_after_pause, scenario)
 
 
-@pytest.mark.parametrize("abrupt", [True, False])
-def test_no_attempt_starts_for_a_client_that_closes_during_the_stop(
-    play_gateway: PlayGateway, abrupt: bool
+@pytest.mark.parametrize("with_reset", [True, False])
+def test_no_attempt_starts_for_a_client_that_closes_during_shutdown(
+    run_gateway_scenario: RunGateway, with_reset: bool
 ) -> None:
     closing: list[socket.socket] = []
 
     def script(event: Event) -> Iterator[Action]:
         if isinstance(event, CounterReply) and closing:
-            close(closing.pop(), abrupt)
+            close(closing.pop(), with_reset)
         yield from retry_after_pause(event)
 
-    async def scenario(gateway: Gateway) -> None:
+    async def scenario(gateway: GatewayHarness) -> None:
         gateway.client.sendall(call(2) + call(3) + call(4)[:-5])
-        await until(lambda: len(gateway.counter.pending) == 2)
+        await wait_until(lambda: len(gateway.counter.pending) == 2)
         stop = asyncio.create_task(gateway.listener.stop(0.0, 60.0))
-        await until(lambda: gateway.listener.connections.shutting_down)
+        await wait_until(lambda: gateway.listener.connections.shutting_down)
         closing.append(gateway.client)
         gateway.counter.reply_all()
-        await until(lambda: gateway.cancelled_requests() == 2)
+        await wait_until(lambda: gateway.cancelled_requests() == 2)
         await stop
         gateway.upstream.close()
-        # The end of the idle connection, and nothing before it.
+        # The idle connection has ended, and nothing was received before that.
         assert (await gateway.endpoint.came.get())[1] == b""
 
-    play_gateway(script, scenario)
+    run_gateway_scenario(script, scenario)
 
 
-@pytest.mark.parametrize("abrupt", [True, False])
+@pytest.mark.parametrize("with_reset", [True, False])
 def test_unread_commands_of_a_client_that_closed_are_not_submitted(
-    monkeypatch: pytest.MonkeyPatch, abrupt: bool
+    monkeypatch: pytest.MonkeyPatch, with_reset: bool
 ) -> None:
-    # They would use up quota, and perhaps be forwarded. Answers make room before the next disconnect poll.
+    # They would use quota and might be forwarded: answers make room for them before the next disconnect poll.
     monkeypatch.setattr("rushroad.proxy.disconnect_poll.POLL_INTERVAL", 60.0)
 
     async def scenario() -> None:
@@ -262,9 +264,10 @@
         client = socket.create_connection((LOCAL, gateway.listener.port))
         client.sendall(PIPELINE)
         submitted = [await gateway.engine.calls.get() for _ in range(MAX_UNANSWERED)]
-        await until(lambda: submitted[0].connection._blocked_by == BlockReason.PIPELINE_FULL)
-        close(client, abrupt)
-        for command in reversed(submitted):  # one write: only a second one would fail and show the close
+        await wait_until(lambda: submitted[0].connection._blocked_by == BlockReason.PIPELINE_FULL)
+        close(client, with_reset)
+        # The answers go out in one write; only a second write would fail and reveal the close.
+        for command in reversed(submitted):
             command.fail()
         assert gateway.engine.calls.empty()
 
@@ -273,7 +276,7 @@
 
 def test_disconnects_are_polled_well_within_the_allowed_delay() -> None:
     async def scenario() -> None:
-        loop = PollRecorder()
+        loop = PollRecordingLoop()
         gateway = ClientSide(loop=cast(asyncio.AbstractEventLoop, loop))
         await gateway.listener.listen(LOCAL, 0)
         client = socket.create_connection((LOCAL, gateway.listener.port))
@@ -283,6 +286,7 @@
         client.close()
         for _ in range(MAX_UNANSWERED):
             await gateway.engine.disconnected.get()
-        assert loop.delays and max(loop.delays) <= ALLOWED_DELAY / 2  # the rest is for a busy loop
+        # The other half of the allowed delay is for a busy event loop.
+        assert loop.delays and max(loop.delays) <= ALLOWED_DELAY_S / 2
 
     run(scenario)
