--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -6,7 +6,7 @@
 
 from tests.integration.soak import soak
 from tests.support.gateway_cluster import GatewayCluster
-from tests.support.loopback import run_for
+from tests.support.loopback import run_with_timeout
 from tests.support.rate_server import Attempt, RateServer
 from tests.support.soak_judgement import INCONCLUSIVE, SentRequest, SoakChecker, SoakResult
 
@@ -49,7 +49,7 @@
         conclusive = [result for result in results if not result.outcomes[INCONCLUSIVE]]
         assert all(sum(result.outcomes.values()) > 100 for result in conclusive)
 
-    run_for(120.0, scenario)
+    run_with_timeout(120.0, scenario)
 
 
 @pytest.mark.parametrize(
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback sockets for the tests of the gateway, and scenarios that use them."""
+"""Test doubles and helpers shared by tests that use loopback sockets."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -22,27 +22,27 @@
 
 
 def run(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Play a scenario on the loop that the program uses; a hang fails it."""
-    run_for(10, scenario)
+    """Run a scenario on the event loop of the gateway, uvloop; a scenario that hangs fails after 10 s."""
+    run_with_timeout(10, scenario)
 
 
-def run_for(seconds: float, scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Play one that may take so long."""
-    uvloop.run(asyncio.wait_for(scenario(), seconds))
+def run_with_timeout(timeout_s: float, scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    """Run a scenario that may take until the timeout."""
+    uvloop.run(asyncio.wait_for(scenario(), timeout_s))
 
 
 def resp(*words: bytes) -> bytes:
     return pack(list(words))
 
 
-def call(number: int, terms: bytes = b"c=lookup,t=basic,d=900,units=2,spread=2,first=1") -> bytes:
-    return resp(b"CALL.GET", TENANT, b"%016x" % number, terms)
+def call(number: int, options: bytes = b"c=lookup,t=basic,d=900,units=2,spread=2,first=1") -> bytes:
+    return resp(b"CALL.GET", TENANT, b"%016x" % number, options)
 
 
 class Peer:
-    """A server that responds as the test says.
+    """A server controlled by the test.
 
-    `came` holds what was received, in order, with b"" where a connection ended.
+    `came` holds the received data of all connections in order, with b"" for the end of a connection.
     """
 
     def __init__(self) -> None:
@@ -66,14 +66,14 @@
             self.came.put_nowait((writer, data))
 
     async def hear(self, end: bytes = b"\r\n") -> tuple[asyncio.StreamWriter, bytes]:
-        """Receive until what came ends like this, or the connection ended."""
+        """Receive until the data ends with `end` or the connection ends; return its writer and the data."""
         writer, data = await self.came.get()
         while data and not data.endswith(end):
             data += (await self.came.get())[1]
         return writer, data
 
     async def answer(self, reply: bytes) -> bytes:
-        """Receive a command and respond to it."""
+        """Receive a command, send a reply and return the command."""
         writer, data = await self.hear()
         writer.write(reply)
         return data
@@ -85,7 +85,7 @@
 
 
 class RecordingEngine:
-    """Stands in for the engine: records what the client side and the endpoint side tell it."""
+    """Replaces the engine: records the calls of the client side and of the endpoint side."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -124,7 +124,10 @@
 
 
 class DelayedConnectLoop:
-    """An event loop that delays connects until `go_on` is set; a cancelled one still comes up later."""
+    """An event loop that delays connects until `go_on` is set.
+
+    A connect that is cancelled while it is delayed is still established later, which sets `done`.
+    """
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
