--- a/rushroad/proxy/client_command.py
+++ b/rushroad/proxy/client_command.py
@@ -1,4 +1,4 @@
-"""One command of a client: its words are validated and mapped to our terms here, and it is answered."""
+"""Client commands: validation, translation into the terms of the policy, and answers."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     from rushroad.proxy.client_connection import ClientConnection
 
 CALL_GET, CALL_POST, PING = b"CALL.GET", b"CALL.POST", b"PING"
-CALL_WORD_COUNTS = {CALL_GET: 4, CALL_POST: 5}  # by name, which is one of the words
-TENANT_LIMIT = 1 << 33  # tenants are numbered below this
+CALL_ARGUMENT_COUNTS = {CALL_GET: 4, CALL_POST: 5}  # by command name, which is counted
+TENANT_LIMIT = 1 << 33  # exclusive upper bound of tenant numbers
 TENANT_PATTERN = re.compile(rb"[0-9a-f]{16}")
 ID_PATTERN = re.compile(rb"[0-9A-Za-z._:-]{1,64}")
 TEXT_PATTERN = re.compile(rb"[^\0- ]{1,128}")
 INTEGER_PATTERN = re.compile(rb"\d{1,9}")
-OPTION_PATTERNS = {  # by name, in the operators' words; a call may have no other options
+OPTION_PATTERNS = {  # by option name on the wire; calls with any other option are invalid
     b"c": TEXT_PATTERN,
     b"t": TEXT_PATTERN,
     b"k": TEXT_PATTERN,
@@ -34,23 +34,23 @@
 
 
 class InvalidCommandError(ValueError):
-    """A client's command is not valid; the message is the text of its error answer."""
+    """A client's command is invalid; the message is sent to the client as the error text."""
 
 
 @dataclass(frozen=True, slots=True)
 class CommandSchema:
-    """What the calls of this deployment may contain."""
+    """The valid values in calls of a deployment."""
 
     class_indexes: dict[bytes, int]  # request classes by name
-    duplicates_unsafe: tuple[bool, ...]  # by request class: its requests have to come as CALL.POST
+    requires_post: tuple[bool, ...]  # by request class; False means that CALL.GET is required
     plan_indexes: dict[bytes, int]  # plans by name
-    max_units: float  # of one request
-    fleet_size: int  # gateways
-    longest_deadline: float = 0.0  # seconds; of all request classes
+    max_units: float  # per request
+    fleet_size: int  # number of gateways
+    longest_deadline_s: float = 0.0  # over all request classes
 
     @classmethod
     def from_settings(cls, settings: Settings, proxy_settings: ProxySettings) -> CommandSchema:
-        """Return the schema of a deployment with these settings."""
+        """Build the schema from the settings of a deployment."""
         classes = settings.request_classes
         return cls(
             {name.encode(): index for name, index in proxy_settings.class_indexes.items()},
@@ -63,7 +63,10 @@
 
 
 def parse_options(text: bytes) -> dict[bytes, bytes]:
-    """Return the options of a call by their names; raise InvalidCommandError where one is not valid."""
+    """Return the options of a call by name.
+
+    Raises InvalidCommandError if an option is invalid, unknown or repeated.
+    """
     options: dict[bytes, bytes] = {}
     for item in text.split(b","):
         name, _, value = item.partition(b"=")
@@ -75,11 +78,12 @@
 
 
 class ClientCommand:
-    """One command of a client, from its parsing to its answer; a call is a request to the engine."""
+    """A command of a client, from parsing to its answer. A call is submitted to the engine as a request."""
 
     __slots__ = (
         "answer",
-        "arrived_at",
+        "arguments",
+        "arrived_at_s",
         "class_index",
         "connection",
         "entry_points",
@@ -91,37 +95,37 @@
         "tenant",
         "time_remaining_ms",
         "units",
-        "words",
     )
 
-    def __init__(self, connection: ClientConnection, arrived_at: float) -> None:
+    def __init__(self, connection: ClientConnection, arrived_at_s: float) -> None:
         self.connection = connection
-        self.arrived_at = arrived_at  # when its last byte arrived, at the latest; seconds of the loop's clock
+        self.arrived_at_s = arrived_at_s  # earliest time at which its last byte can have arrived
         self.answer: bytes | None = None
-        self.request_id = 0  # the engine's, while it owes the answer; else 0
-        self.words: list[bytes] = []
+        self.request_id = 0  # assigned by the engine; 0 while no answer from the engine is due
+        self.arguments: list[bytes] = []
 
-    def parse_call(self, words: list[bytes], schema: CommandSchema) -> None:
-        """Take over the words of a call; raise InvalidCommandError unless all of them are valid.
+    def parse_call(self, arguments: list[bytes], schema: CommandSchema) -> None:
+        """Parse the arguments of a call; raise InvalidCommandError if any of them is invalid.
 
-        The words go on to rate servers as they are, so this is the only check of what those are sent.
+        The arguments are forwarded to rate servers unchanged, except for the deadline, so there is no later
+        validation.
         """
-        if len(words) != CALL_WORD_COUNTS[words[0]]:
+        if len(arguments) != CALL_ARGUMENT_COUNTS[arguments[0]]:
             raise InvalidCommandError("wrong number of arguments")
-        options = parse_options(words[3])
+        options = parse_options(arguments[3])
         try:
             self.class_index = schema.class_indexes[options[b"c"]]
             self.plan_index = schema.plan_indexes[options[b"t"]]
             self.time_remaining_ms = int(options[b"d"])
         except KeyError:
             raise InvalidCommandError("missing or unknown class, plan or d") from None
-        if schema.duplicates_unsafe[self.class_index] is not (words[0] == CALL_POST):
+        if schema.requires_post[self.class_index] is not (arguments[0] == CALL_POST):
             raise InvalidCommandError("wrong command for the class")
-        if not TENANT_PATTERN.fullmatch(words[1]) or (tenant := int(words[1], 16)) >= TENANT_LIMIT:
+        if not TENANT_PATTERN.fullmatch(arguments[1]) or (tenant := int(arguments[1], 16)) >= TENANT_LIMIT:
             raise InvalidCommandError("bad customer")
-        if not ID_PATTERN.fullmatch(words[2]):
+        if not ID_PATTERN.fullmatch(arguments[2]):
             raise InvalidCommandError("bad id")
-        self.tenant, self.id, self.words = tenant, words[2], words
+        self.tenant, self.id, self.arguments = tenant, arguments[2], arguments
         self.units = float(options.get(b"units", 1))
         self.entry_points = int(options.get(b"spread", 1))
         self.first_entry = int(options.get(b"first", 0))
@@ -131,35 +135,40 @@
             raise InvalidCommandError("number out of range")
 
     def poll_disconnect(self) -> bool:
-        """Return whether its client has closed; the engine is then told of all requests on the connection."""
+        """Return whether the client has disconnected.
+
+        If so, the engine has been notified for all requests on the connection.
+        """
         return self.connection.poll_disconnect()
 
-    def forwarded_command(self, time_remaining: int) -> bytes:
-        """Return the command for a rate server; `time_remaining`, in microseconds, replaces the client's."""
-        deadline = b"d=%d" % max(1, time_remaining // 1_000)
-        items = self.words[3].split(b",")
+    def forwarded_command(self, time_remaining_us: int) -> bytes:
+        """Return the command for a rate server with the time remaining in place of the client's."""
+        deadline = b"d=%d" % max(1, time_remaining_us // 1_000)
+        items = self.arguments[3].split(b",")
         options = b",".join([deadline if item.startswith(b"d=") else item for item in items])
-        return resp.pack([*self.words[:3], options, *self.words[4:]])
+        return resp.encode_array([*self.arguments[:3], options, *self.arguments[4:]])
 
     def succeed(self, value: bytes) -> None:
         """Answer with a rate server's value."""
         self._answer(b"$%d\r\n%b\r\n" % (len(value), value))
 
-    def reject(self, retry_after: int) -> None:
-        """Answer that it is rejected; a client may retry after so many microseconds, where this is not 0."""
-        self._answer(b"-BUSY %d\r\n" % math.ceil(retry_after / 1_000) if retry_after > 0 else b"-BUSY\r\n")
+    def reject(self, retry_after_us: int) -> None:
+        """Answer that the request is rejected; 0 means that no Retry-After is given."""
+        self._answer(
+            b"-BUSY %d\r\n" % math.ceil(retry_after_us / 1_000) if retry_after_us > 0 else b"-BUSY\r\n"
+        )
 
     def fail(self) -> None:
-        """Answer that it failed."""
+        """Answer that the request failed."""
         self._answer(b"-ERR failed\r\n")
 
     def refuse(self, error: str) -> None:
-        """Answer that it is not valid, and why."""
+        """Answer that the command is invalid, with the reason."""
         self._answer(b"-ERR %b\r\n" % error.encode())
 
-    def answer_ping(self, words: list[bytes]) -> None:
-        """Answer a PING; raise InvalidCommandError where it is another command."""
-        if words[0].upper() != PING:
+    def answer_ping(self, arguments: list[bytes]) -> None:
+        """Answer a PING; raise InvalidCommandError for any other command."""
+        if arguments[0].upper() != PING:
             raise InvalidCommandError("unknown command")
         self._answer(b"+PONG\r\n")
 
--- a/tests/integration/test_large_endpoint_list.py
+++ b/tests/integration/test_large_endpoint_list.py
@@ -8,7 +8,7 @@
 from tests.support.attempts import OK
 from tests.support.gateway_process import configuration, connect, free_port, running_gateway
 from tests.support.loopback import LOCAL, call
-from tests.support.watch import HEAD, chunk, list_entries, list_line
+from tests.support.watch import RESPONSE_HEAD, chunk, list_entries, list_line
 
 ENDPOINTS = 97_000
 MAX_RESIDENT_KIB = 128_000
@@ -38,7 +38,7 @@
         assert client.recv(64) == b"$5\r\nvalue\r\n"
         new_snapshot = cached_snapshot.replace('"generation": 41', '"generation": 42') + "\n"
         watch.sendall(
-            HEAD + chunk(new_snapshot.encode()) + chunk(b"\n" + list_line(43, lifecycle="DRAINING"))
+            RESPONSE_HEAD + chunk(new_snapshot.encode()) + chunk(b"\n" + list_line(43, lifecycle="DRAINING"))
         )
         watch.close()  # the gateway opens another one when it has decoded all data
         while b"from=43 " not in stack.enter_context(peers[0].accept()[0]).recv(4096):
--- a/tests/proxy/test_client_command.py
+++ b/tests/proxy/test_client_command.py
@@ -1,14 +1,16 @@
-"""Calls of clients: what is valid, what the engine and rate servers get, and the answers."""
+"""Client calls: validation, parsing, forwarding and answers."""
 
 import asyncio
 
 import pytest
 
-from tests.support.client_side import PING, PONG, ClientSide, Play
+from tests.support.client_side import PING, PONG, ClientSide, RunScenario
 from tests.support.loopback import TENANT, resp
 
 
-def test_call_received_byte_by_byte_is_parsed_and_forwarded_with_its_time_remaining(play: Play) -> None:
+def test_call_received_byte_by_byte_is_parsed_and_forwarded_with_its_time_remaining(
+    run_scenario: RunScenario,
+) -> None:
     async def scenario(gateway: ClientSide) -> None:
         _, writer = await gateway.connect()
         options = b"c=order,t=basic,d=480,units=1.5,spread=3,first=1,r=1,k=d=7"
@@ -27,11 +29,11 @@
         )
         assert command.forwarded_command(123_456) == data.replace(b",d=480,", b",d=123,")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         (b"GET", b"x"),
         (b"CALL.GET",),
@@ -49,7 +51,7 @@
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,units=inf"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,units=1_0"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,units=+1"),
-        (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,units=4.5"),  # more than a request may have
+        (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,units=4.5"),  # more than the limit per request
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,units=1e9"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=+9"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d= 9"),
@@ -57,14 +59,14 @@
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,d=9"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,odd=9"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,r=2"),
-        (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,spread=4"),  # more gateways than there are
+        (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,spread=4"),  # exceeds the fleet size
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,first=3"),
         (b"CALL.GET", TENANT, b"", b"c=lookup,t=basic,d=9"),
         (b"CALL.GET", TENANT, b"a b", b"c=lookup,t=basic,d=9"),
         (b"CALL.GET", TENANT, b"1" * 65, b"c=lookup,t=basic,d=9"),
-        (b"CALL.GET", TENANT, b"1", b"c=order,t=basic,d=9"),  # not idempotent: has to be CALL.POST
+        (b"CALL.GET", TENANT, b"1", b"c=order,t=basic,d=9"),  # not idempotent, so CALL.POST is required
         (b"CALL.POST", TENANT, b"1", b"c=lookup,t=basic,d=9", b""),
-        (b"call.get", TENANT, b"1", b"c=lookup,t=basic,d=9"),  # would be forwarded as it is
+        (b"call.get", TENANT, b"1", b"c=lookup,t=basic,d=9"),  # would be forwarded unchanged
         (b"CALL.GET", b"+0000000000000ab", b"1", b"c=lookup,t=basic,d=9"),
         (b"CALL.GET", b"0000_0000_0000ab", b"1", b"c=lookup,t=basic,d=9"),
         (b"CALL.GET", TENANT, b"1", b"c=lookup,t=basic,d=9,spread=0"),
@@ -75,14 +77,14 @@
         (b"",),
     ],
 )
-def test_invalid_command_is_answered_with_an_error_and_the_connection_goes_on(
-    play: Play, words: tuple[bytes, ...]
+def test_invalid_command_is_answered_with_an_error_and_the_connection_stays_open(
+    run_scenario: RunScenario, arguments: tuple[bytes, ...]
 ) -> None:
     async def scenario(gateway: ClientSide) -> None:
         reader, writer = await gateway.connect()
-        writer.write(resp(*words) + PING)
+        writer.write(resp(*arguments) + PING)
         assert (await reader.readline()).startswith(b"-ERR ")
         assert await reader.readline() == PONG
         assert gateway.engine.calls.empty()
 
-    play(scenario)
+    run_scenario(scenario)
