--- a/tests/integration/test_unavailable_peers.py
+++ b/tests/integration/test_unavailable_peers.py
@@ -1,4 +1,4 @@
-"""Starts and runs while discovery or the counter is not available, or many idle clients take descriptors."""
+"""Startup and service while discovery or the counter is unavailable or idle clients use all descriptors."""
 
 import asyncio
 import contextlib
@@ -31,8 +31,8 @@
 from tests.support.loopback import LOCAL, NAMES, call, run
 
 MAX_SOCKETS = 128
-IDLE_CLIENTS = 400  # more than there are descriptors
-UPDATE_DEADLINE = 6.0  # seconds after which a gateway has to know what discovery sent
+IDLE_CLIENTS = 400  # more than the process has file descriptors
+UPDATE_DEADLINE_S = 6.0  # a gateway has to know an endpoint update this long after it was sent
 
 
 def port_of(peer: socket.socket) -> int:
@@ -40,24 +40,26 @@
     return port
 
 
-def send_snapshot(watch: socket.socket, server: int) -> None:
-    """Answer a watch with a snapshot of one endpoint."""
-    entry = {"instanceId": "s-2", "hostPort": f"{LOCAL}:{server}", "lifecycle": "SERVING"}
-    text = json.dumps({"generation": 42, "reset": True, "instances": [entry]}).encode() + b"\n"
+def send_snapshot(watch: socket.socket, endpoint_port: int) -> None:
+    """Respond to a watch with a snapshot that contains one endpoint."""
+    entry = {"instanceId": "s-2", "hostPort": f"{LOCAL}:{endpoint_port}", "lifecycle": "SERVING"}
+    snapshot = json.dumps({"generation": 42, "reset": True, "instances": [entry]}).encode() + b"\n"
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-    watch.sendall(head + b"%x\r\n%b\r\n" % (len(text), text))
+    watch.sendall(head + b"%x\r\n%b\r\n" % (len(snapshot), snapshot))
 
 
-@pytest.mark.parametrize("moved", [True, False])
-def test_many_idle_clients_do_not_block_discovery_and_the_counter(tmp_path: Path, moved: bool) -> None:
-    # They connect while the watch and the counter are down, faster than the process can close any.
+@pytest.mark.parametrize("discovery_moves", [True, False])
+def test_many_idle_clients_do_not_block_discovery_and_the_counter(
+    tmp_path: Path, discovery_moves: bool
+) -> None:
+    # They connect while the watch and the counter are down, faster than the process can close connections.
     with contextlib.ExitStack() as stack:
-        discovery, elsewhere, counter, server = (stack.enter_context(listen()) for _ in range(4))
+        discovery, new_discovery, counter, server = (stack.enter_context(listen()) for _ in range(4))
         gateway_port = free_port()
-        text = configuration(port_of(discovery), port_of(counter), gateway_port)
-        text["limits"]["sockets"] = MAX_SOCKETS
+        document = configuration(port_of(discovery), port_of(counter), gateway_port)
+        document["limits"]["sockets"] = MAX_SOCKETS
         process = stack.enter_context(
-            running_gateway(tmp_path, json.dumps(text), f"ulimit -n {MAX_SOCKETS}; {RUN_COMMAND}")
+            running_gateway(tmp_path, json.dumps(document), f"ulimit -n {MAX_SOCKETS}; {RUN_COMMAND}")
         )
         watch, first = accept(discovery, process), connect(gateway_port, process)
         first.sendall(PING)
@@ -66,9 +68,9 @@
         process.send_signal(signal.SIGSTOP)
         for connection in [watch, *counter_connections]:
             connection.close()
-        if moved:
+        if discovery_moves:
             (tmp_path / "config.json").write_text(
-                json.dumps(text | {"discovery": f"{LOCAL}:{port_of(elsewhere)}"})
+                json.dumps(document | {"discovery": f"{LOCAL}:{port_of(new_discovery)}"})
             )
             process.send_signal(signal.SIGHUP)
         for _ in range(IDLE_CLIENTS):
@@ -77,33 +79,43 @@
 
         for _ in range(2):
             stack.enter_context(accept(counter, process))
-        watch = stack.enter_context(accept(elsewhere if moved else discovery, process))
+        watch = stack.enter_context(accept(new_discovery if discovery_moves else discovery, process))
         assert watch.recv(4096).startswith(b"GET /v1/servers?watch=1&from=41 ")
         send_snapshot(watch, port_of(server))
         client = stack.enter_context(connect(gateway_port, process))
-        numbers, last = itertools.count(1), time.monotonic() + PROCESS_TIMEOUT_S
-        while not select.select([server], [], [], 0)[0]:  # until the snapshot is known
+        numbers, give_up_at = itertools.count(1), time.monotonic() + PROCESS_TIMEOUT_S
+        while not select.select([server], [], [], 0)[0]:  # until the new endpoint receives a request
             client.sendall(call(next(numbers), b"c=lookup,t=basic,d=900,units=1,spread=1,first=0"))
             assert client.recv(64)
-            assert time.monotonic() < last, "no request is forwarded to the endpoint of the new snapshot"
+            assert time.monotonic() < give_up_at, (
+                "no request is forwarded to the endpoint of the new snapshot"
+            )
         process.send_signal(signal.SIGTERM)
         assert process.wait(timeout=PROCESS_TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize(
-    ("agent", "counter"),
-    [("none", "full"), ("silent", "silent"), ("full", "none"), ("full", "full"), ("odd", "silent")],
+    ("discovery", "counter"),
+    [
+        ("refusing", "full"),
+        ("silent", "silent"),
+        ("full", "refusing"),
+        ("full", "full"),
+        ("malformed", "silent"),
+    ],
 )
-def test_start_waits_for_neither_discovery_nor_the_counter(tmp_path: Path, agent: str, counter: str) -> None:
+def test_startup_waits_for_neither_discovery_nor_the_counter(
+    tmp_path: Path, discovery: str, counter: str
+) -> None:
     with contextlib.ExitStack() as stack:
-        peers = {how: stack.enter_context(listen()) for how in ("silent", "full", "odd")}
+        peers = {behavior: stack.enter_context(listen()) for behavior in ("silent", "full", "malformed")}
         fill_backlog(peers["full"], stack)
-        ports = {how: port_of(peer) for how, peer in peers.items()} | {"none": 1}
+        ports = {behavior: port_of(peer) for behavior, peer in peers.items()} | {"refusing": 1}
         gateway_port = free_port()
-        text = json.dumps(configuration(ports[agent], ports[counter], gateway_port), indent="\t")
+        text = json.dumps(configuration(ports[discovery], ports[counter], gateway_port), indent="\t")
         process = stack.enter_context(running_gateway(tmp_path, "\r\n " + text))
-        if agent == "odd":
-            accept(peers["odd"], process).sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}")
+        if discovery == "malformed":
+            accept(peers["malformed"], process).sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}")
         client = stack.enter_context(connect(gateway_port, process))
         client.sendall(PING)
         assert client.recv(64) == PONG
@@ -112,50 +124,51 @@
 
 
 def fill_backlog(peer: socket.socket, stack: contextlib.ExitStack) -> None:
-    """Let no further connection to it open, like a lost or hanging machine."""
+    """Fill the listen backlog of a peer, so that connects to it hang as with an unreachable machine."""
     peer.listen(0)
     for _ in range(4):
-        end = stack.enter_context(socket.socket())
-        end.setblocking(False)
-        end.connect_ex(peer.getsockname())
+        connection = stack.enter_context(socket.socket())
+        connection.setblocking(False)
+        connection.connect_ex(peer.getsockname())
 
 
 def test_unreachable_discovery_is_retried_before_its_updates_have_to_be_known(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Refused, reset, failed, timed out as silent: the next call follows at once, however many have failed.
-    pauses: list[float] = []
+    # After a watch that was refused, reset, answered with an error or silent until its timeout, the next request
+    # follows within MAX_RECONNECT_DELAY_S, regardless of how many have failed.
+    delays: list[float] = []
     sleep = asyncio.sleep
 
-    async def record_pause(seconds: float) -> None:
-        pauses.append(seconds)
+    async def record_delay(seconds: float) -> None:
+        delays.append(seconds)
         await sleep(0)
 
     async def scenario() -> None:
         updates, loop = asyncio.Queue[EndpointUpdate](), asyncio.get_running_loop()
         with socket.socket() as agent:
-            agent.bind((LOCAL, 0))  # it does not listen: connects are refused
+            agent.bind((LOCAL, 0))  # not listening: connects are refused
             agent.setblocking(False)
-            address, chance = agent.getsockname(), random.Random(1)
-            watch = Discovery(address, 41, NAMES, lambda update, _: updates.put_nowait(update), loop, chance)
-            while len(pauses) < 40:
+            address, rng = agent.getsockname(), random.Random(1)
+            watch = Discovery(address, 41, NAMES, lambda update, _: updates.put_nowait(update), loop, rng)
+            while len(delays) < 40:
                 await sleep(0)
             agent.listen()
-            for answer in (b"", b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n"):
-                with (await loop.sock_accept(agent))[0] as end:
-                    end.sendall(answer)
+            for response in (b"", b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n"):
+                with (await loop.sock_accept(agent))[0] as connection:
+                    connection.sendall(response)
             silent, _ = await loop.sock_accept(agent)
-            end, _ = await loop.sock_accept(agent)
-            send_snapshot(end, 81)
+            connection, _ = await loop.sock_accept(agent)
+            send_snapshot(connection, 81)
             assert (await updates.get()).version == 42
             watch.close()
             silent.close()
-            end.close()
+            connection.close()
 
-    monkeypatch.setattr("rushroad.proxy.discovery.asyncio.sleep", record_pause)
+    monkeypatch.setattr("rushroad.proxy.discovery.asyncio.sleep", record_delay)
     run(scenario)
-    longest = max(pauses)
-    assert longest <= discovery.MAX_RECONNECT_DELAY_S
-    # A watch falls silent; the next one finds the agent unreachable just then.
-    reconnect = 2 * discovery.RESPONSE_TIMEOUT_S + 2 * longest
-    assert discovery.SILENCE_TIMEOUT_S + reconnect < UPDATE_DEADLINE
+    max_delay = max(delays)
+    assert max_delay <= discovery.MAX_RECONNECT_DELAY_S
+    # The worst case: a watch falls silent, and the agent is unreachable for the next one.
+    reconnect_time = 2 * discovery.RESPONSE_TIMEOUT_S + 2 * max_delay
+    assert discovery.SILENCE_TIMEOUT_S + reconnect_time < UPDATE_DEADLINE_S
