--- a/tests/bench/test_load.py
+++ b/tests/bench/test_load.py
@@ -9,7 +9,7 @@
 from rushroad.bench.commands import LoadResult, Outcome, StartLoad
 from rushroad.bench.load import LoadGenerator
 from rushroad.proxy.resp import Reader
-from tests.support.loopback import LOCAL, run
+from tests.support.loopback import LOOPBACK, run
 
 
 class LoadRun(NamedTuple):
@@ -60,8 +60,8 @@
                         writer.write(b"$%d\r\n%b\r\n" % (len(value), value))
 
     done: asyncio.Future[LoadResult] = asyncio.get_running_loop().create_future()
-    async with await asyncio.start_server(serve, LOCAL, 0) as server:
-        address = f"{LOCAL}:{server.sockets[0].getsockname()[1]}"
+    async with await asyncio.start_server(serve, LOOPBACK, 0) as server:
+        address = f"{LOOPBACK}:{server.sockets[0].getsockname()[1]}"
         LoadGenerator(structs.replace(command, gateways=(address,)), done.set_result)
         return LoadRun(await done, commands)
 
--- a/tests/bench/test_pings.py
+++ b/tests/bench/test_pings.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from rushroad.bench.pings import Pinger
-from tests.support.loopback import LOCAL, run
+from tests.support.loopback import LOOPBACK, run
 
 
 def test_the_longest_round_trip_includes_a_ping_in_flight() -> None:
@@ -20,9 +20,9 @@
                     return  # without a PONG
                 writer.write(b"+PONG\r\n")
 
-        async with await asyncio.start_server(serve, LOCAL, 0) as server:
+        async with await asyncio.start_server(serve, LOOPBACK, 0) as server:
             port = server.sockets[0].getsockname()[1]
-            _, pinger = await asyncio.get_running_loop().create_connection(Pinger, LOCAL, port)
+            _, pinger = await asyncio.get_running_loop().create_connection(Pinger, LOOPBACK, port)
             await third_received.wait()
             assert pinger.take_longest().answers == 2
             assert pinger.take_longest().seconds > 0
--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -25,7 +25,7 @@
 from tests.support.attempts import LONG_TIMEOUT_US, OK, endpoint_at
 from tests.support.client_side import ClientSide
 from tests.support.gateway_driver import SETTINGS
-from tests.support.loopback import LOCAL, SCHEMA, Peer, call, run
+from tests.support.loopback import LOOPBACK, SCHEMA, Peer, call, run
 from tests.support.scripted_policy import Script, ScriptedPolicy, install_policy
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER
@@ -77,7 +77,7 @@
 
     def connect(self) -> socket.socket:
         """Connect another client."""
-        client = socket.create_connection((LOCAL, self.listener.port))
+        client = socket.create_connection((LOOPBACK, self.listener.port))
         client.setblocking(False)
         return client
 
@@ -88,7 +88,7 @@
         self.counter.reply_all()
         received = b""
         while b"%016x" % number not in received:
-            writer, data = await self.endpoint.came.get()
+            writer, data = await self.endpoint.received_chunks.get()
             received += data
         writer.write(OK)
         assert (await asyncio.get_running_loop().sock_recv(client, 4096)).startswith(b"$")
@@ -114,7 +114,7 @@
             engine = Engine(SETTINGS, 1, asyncio.get_running_loop())
             async with Peer() as endpoint:
                 gateway = GatewayHarness(policy, engine, endpoint)
-                await gateway.listener.listen(LOCAL, 0)
+                await gateway.listener.listen(LOOPBACK, 0)
                 gateway.client = gateway.connect()
                 await gateway.serve(gateway.client, 1)
                 await scenario(gateway)
@@ -194,7 +194,7 @@
                 closing.append(gateway.client)
             gateway.counter.reply_all()
             if closes_on in (AttemptOutcome, TimerFired):
-                writer, _ = await gateway.endpoint.hear()
+                writer, _ = await gateway.endpoint.receive()
                 closing.append(gateway.client)
                 writer.write(b"-ERR failed\r\n")
             await wait_until(lambda: gateway.cancelled_requests() >= submitted)
@@ -246,7 +246,7 @@
         await stop
         gateway.upstream.close()
         # The idle connection has ended, and nothing was received before that.
-        assert (await gateway.endpoint.came.get())[1] == b""
+        assert (await gateway.endpoint.received_chunks.get())[1] == b""
 
     run_gateway_scenario(script, scenario)
 
@@ -260,8 +260,8 @@
 
     async def scenario() -> None:
         gateway = ClientSide()
-        await gateway.listener.listen(LOCAL, 0)
-        client = socket.create_connection((LOCAL, gateway.listener.port))
+        await gateway.listener.listen(LOOPBACK, 0)
+        client = socket.create_connection((LOOPBACK, gateway.listener.port))
         client.sendall(PIPELINE)
         submitted = [await gateway.engine.calls.get() for _ in range(MAX_UNANSWERED)]
         await wait_until(lambda: submitted[0].connection._blocked_by == BlockReason.PIPELINE_FULL)
@@ -278,8 +278,8 @@
     async def scenario() -> None:
         loop = PollRecordingLoop()
         gateway = ClientSide(loop=cast(asyncio.AbstractEventLoop, loop))
-        await gateway.listener.listen(LOCAL, 0)
-        client = socket.create_connection((LOCAL, gateway.listener.port))
+        await gateway.listener.listen(LOOPBACK, 0)
+        client = socket.create_connection((LOOPBACK, gateway.listener.port))
         client.sendall(PIPELINE)
         for _ in range(MAX_UNANSWERED):
             await gateway.engine.calls.get()
--- a/tests/integration/test_large_endpoint_list.py
+++ b/tests/integration/test_large_endpoint_list.py
@@ -7,7 +7,7 @@
 
 from tests.support.attempts import OK
 from tests.support.gateway_process import configuration, connect, free_port, running_gateway
-from tests.support.loopback import LOCAL, call
+from tests.support.loopback import LOOPBACK, call
 from tests.support.watch import RESPONSE_HEAD, chunk, list_entries, list_line
 
 ENDPOINTS = 97_000
@@ -16,11 +16,11 @@
 
 def test_process_starts_from_97000_endpoints_within_its_memory_limit(tmp_path: Path) -> None:
     with contextlib.ExitStack() as stack:
-        peers = [stack.enter_context(socket.create_server((LOCAL, 0))) for _ in range(3)]
+        peers = [stack.enter_context(socket.create_server((LOOPBACK, 0))) for _ in range(3)]
         discovery, counter, endpoint = (peer.getsockname()[1] for peer in peers)
         document = configuration(discovery, counter, free_port())
         fields = {"zone": "a", "machineType": "m2", "cell": 3, "weight": 1.0, "startedAtMs": 0}
-        fields["hostPort"] = f"{LOCAL}:{endpoint}"
+        fields["hostPort"] = f"{LOOPBACK}:{endpoint}"
         entries = [entry | fields for entry in list_entries(ENDPOINTS)]
         cached_snapshot = json.dumps({"generation": 41, "reset": True, "instances": entries}, indent=2)
         document |= {"known": "KNOWN", "settings": document["settings"] | {"fleetSize": 4_900}}
--- a/tests/integration/test_unavailable_peers.py
+++ b/tests/integration/test_unavailable_peers.py
@@ -28,7 +28,7 @@
     listen,
     running_gateway,
 )
-from tests.support.loopback import LOCAL, NAMES, call, run
+from tests.support.loopback import LOOPBACK, PROXY_SETTINGS, call, run
 
 MAX_SOCKETS = 128
 IDLE_CLIENTS = 400  # more than the process has file descriptors
@@ -42,7 +42,7 @@
 
 def send_snapshot(watch: socket.socket, endpoint_port: int) -> None:
     """Respond to a watch with a snapshot that contains one endpoint."""
-    entry = {"instanceId": "s-2", "hostPort": f"{LOCAL}:{endpoint_port}", "lifecycle": "SERVING"}
+    entry = {"instanceId": "s-2", "hostPort": f"{LOOPBACK}:{endpoint_port}", "lifecycle": "SERVING"}
     snapshot = json.dumps({"generation": 42, "reset": True, "instances": [entry]}).encode() + b"\n"
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     watch.sendall(head + b"%x\r\n%b\r\n" % (len(snapshot), snapshot))
@@ -70,7 +70,7 @@
             connection.close()
         if discovery_moves:
             (tmp_path / "config.json").write_text(
-                json.dumps(document | {"discovery": f"{LOCAL}:{port_of(new_discovery)}"})
+                json.dumps(document | {"discovery": f"{LOOPBACK}:{port_of(new_discovery)}"})
             )
             process.send_signal(signal.SIGHUP)
         for _ in range(IDLE_CLIENTS):
@@ -147,10 +147,12 @@
     async def scenario() -> None:
         updates, loop = asyncio.Queue[EndpointUpdate](), asyncio.get_running_loop()
         with socket.socket() as agent:
-            agent.bind((LOCAL, 0))  # not listening: connects are refused
+            agent.bind((LOOPBACK, 0))  # not listening: connects are refused
             agent.setblocking(False)
             address, rng = agent.getsockname(), random.Random(1)
-            watch = Discovery(address, 41, NAMES, lambda update, _: updates.put_nowait(update), loop, rng)
+            watch = Discovery(
+                address, 41, PROXY_SETTINGS, lambda update, _: updates.put_nowait(update), loop, rng
+            )
             while len(delays) < 40:
                 await sleep(0)
             agent.listen()
--- a/tests/proxy/test_client_listener.py
+++ b/tests/proxy/test_client_listener.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.support.client_side import PING, PONG, ClientSide, RunScenario
-from tests.support.loopback import LOCAL, call
+from tests.support.loopback import LOOPBACK, call
 
 
 def test_stop_answers_requests_in_flight_then_closes_all_connections(run_scenario: RunScenario) -> None:
@@ -107,7 +107,7 @@
         with socket.socket() as client:
 
             def connect() -> None:
-                client.connect((LOCAL, gateway.listener.port))
+                client.connect((LOOPBACK, gateway.listener.port))
                 client.setblocking(False)
                 client.send(call(1))
                 connected.set()
@@ -127,7 +127,7 @@
 ) -> None:
     async def scenario(gateway: ClientSide) -> None:
         loop = asyncio.get_running_loop()
-        with socket.create_connection((LOCAL, gateway.listener.port)) as client:
+        with socket.create_connection((LOOPBACK, gateway.listener.port)) as client:
             client.setblocking(False)
             await loop.sock_sendall(client, PING)
             assert await loop.sock_recv(client, 64) == PONG
--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -35,9 +35,9 @@
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         for amount in (1.0, 2.0, 3.0):
             client.add(8, amount, 1_000_000)
-        writer, data = await peer.hear()
+        writer, data = await peer.receive()
         while data.count(b"\r\n") < 3:
-            data += (await peer.hear())[1]
+            data += (await peer.receive())[1]
         writer.write(b"ok 1\r\nok 3\r")
         writer.write(b"\nok 6\r\n")
         assert [(await replies.get()).total for _ in range(3)] == [1.0, 3.0, 6.0]
@@ -50,7 +50,7 @@
     monkeypatch.setattr(counter_client, "MONITOR_INTERVAL_S", 0.01)
 
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
-        writer, data = await peer.hear()
+        writer, data = await peer.receive()
         assert data == b"ping\r\n"
         name = next(n for n in range(9) if client.connection_for(n) is client.connection_for(0))
         writer.write(b"pong\r\n")
@@ -66,8 +66,8 @@
 
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         client.add(8, 1.0, 1_000_000)
-        assert (await peer.hear())[1] != b""
-        assert (await peer.hear())[1] == b""
+        assert (await peer.receive())[1] != b""
+        assert (await peer.receive())[1] == b""
         assert (await replies.get()).result is Result.RESET
 
     run_with_counter_client(scenario, LONG_TIMEOUT)
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -11,7 +11,7 @@
 from rushroad.proxy import discovery as discovery_module
 from rushroad.proxy.discovery import Discovery
 from rushroad.proxy.endpoint_decoder import ListedEndpoint
-from tests.support.loopback import LOCAL, NAMES, DelayedConnectLoop, Peer, run
+from tests.support.loopback import LOOPBACK, PROXY_SETTINGS, DelayedConnectLoop, Peer, run
 from tests.support.watch import (
     LONG_LIST_VERSION,
     RESPONSE_HEAD,
@@ -30,7 +30,7 @@
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
         watch.peer.writers[0].transport.abort()
-        assert (await watch.peer.hear())[1] == b""
+        assert (await watch.peer.receive())[1] == b""
         assert b"from=77 " in await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(90, reset=True)))
         assert (await watch.next_update()).kind is UpdateKind.SNAPSHOT
 
@@ -96,13 +96,13 @@
     async def scenario(watch: WatchHarness) -> None:
         for _ in range(8):
             await watch.peer.answer(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
-            assert (await watch.peer.hear())[1] == b""
-        writer, _ = await watch.peer.hear()
+            assert (await watch.peer.receive())[1] == b""
+        writer, _ = await watch.peer.receive()
         writer.write(RESPONSE_HEAD + chunk(list_line(42)))
         await watch.next_update()
         writer.transport.abort()
-        assert (await watch.peer.hear())[1] == b""
-        await watch.peer.hear()
+        assert (await watch.peer.receive())[1] == b""
+        await watch.peer.receive()
 
     monkeypatch.setattr("rushroad.proxy.discovery.asyncio.sleep", record_delay)
     run_watch_scenario(scenario)
@@ -119,13 +119,13 @@
     async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(42)))
         await watch.next_update()
-        writer, data = await watch.peer.hear()  # the silent watch was not closed before
+        writer, data = await watch.peer.receive()  # the silent watch was not closed before
         assert b"from=42 " in data
         monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT_S", 9.0)
         watch.peer.writers[0].write(chunk(list_line(43)))
         assert (await watch.next_update()).version == 43
         writer.write(RESPONSE_HEAD + chunk(b"\n"))
-        while (await watch.peer.hear())[1] != b"":
+        while (await watch.peer.receive())[1] != b"":
             pass
         writer.write(chunk(list_line(44)))
         assert (await watch.next_update()).version == 44
@@ -139,13 +139,13 @@
 def test_unanswered_watch_stays_open_beside_the_next_and_either_may_be_answered() -> None:
     # After an outage an agent answers at once, possibly on a connection accepted before.
     async def scenario(watch: WatchHarness) -> None:
-        first, _ = await watch.peer.hear()
-        second, data = await watch.peer.hear()
+        first, _ = await watch.peer.receive()
+        second, data = await watch.peer.receive()
         assert data.startswith(b"GET ")
         assert second is not first
         first.write(RESPONSE_HEAD + chunk(list_line(42)))
         assert (await watch.next_update()).version == 42
-        while (ended := await watch.peer.hear())[1] != b"":
+        while (ended := await watch.peer.receive())[1] != b"":
             pass
         assert ended[0] is not first
 
@@ -163,7 +163,7 @@
     async def scenario(watch: WatchHarness) -> None:
         opened = closed = 0
         while opened < 3 * limit or closed < limit:
-            data = (await watch.peer.hear())[1]
+            data = (await watch.peer.receive())[1]
             opened, closed = opened + (data != b""), closed + (data == b"")
             assert len(watch.discovery._pending_watches) <= limit
 
@@ -201,7 +201,7 @@
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(45, lifecycle="DRAINING")))
         assert (await watch.next_update()).endpoints[0].state is EndpointState.DRAINING
         async with Peer() as other:  # an agent with an older version
-            watch.discovery.set_address((LOCAL, other.port))
+            watch.discovery.set_address((LOOPBACK, other.port))
             older = chunk(list_line(44, reset=True)) + chunk(list_line(44))
             await other.answer(RESPONSE_HEAD + older + chunk(list_line(46)))
             assert (await watch.next_update()).version == 46
@@ -254,15 +254,17 @@
         async with Peer() as peer, Peer() as other:
             delayed_loop = DelayedConnectLoop()
             loop = cast(asyncio.AbstractEventLoop, delayed_loop)
-            address, rng = (LOCAL, peer.port), random.Random(1)
+            address, rng = (LOOPBACK, peer.port), random.Random(1)
             updates: list[Any] = []
-            discovery = Discovery(address, 41, NAMES, lambda *update: updates.append(update), loop, rng)
-            await delayed_loop.asked.wait()
-            discovery.set_address((LOCAL, other.port))
-            await delayed_loop.done.wait()
-            assert (await peer.hear())[1] == b""  # closed without a request
-            delayed_loop.go_on.set()
-            assert b"from=41 " in (await other.hear())[1]
+            discovery = Discovery(
+                address, 41, PROXY_SETTINGS, lambda *update: updates.append(update), loop, rng
+            )
+            await delayed_loop.connect_requested.wait()
+            discovery.set_address((LOOPBACK, other.port))
+            await delayed_loop.cancelled_connect_done.wait()
+            assert (await peer.receive())[1] == b""  # closed without a request
+            delayed_loop.connect_allowed.set()
+            assert b"from=41 " in (await other.receive())[1]
             discovery.close()
 
     run(scenario)
@@ -273,11 +275,11 @@
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
         async with Peer() as other:
-            watch.discovery.set_address((LOCAL, other.port))
-            watch.discovery.set_address((LOCAL, other.port))
+            watch.discovery.set_address((LOOPBACK, other.port))
+            watch.discovery.set_address((LOOPBACK, other.port))
             assert b"from=77 " in await other.answer(RESPONSE_HEAD + chunk(list_line(78)))
             assert (await watch.next_update()).version == 78
-            assert (await watch.peer.hear())[1] == b""
+            assert (await watch.peer.receive())[1] == b""
             assert len(other.writers) == 1
             watch.discovery.close()
 
@@ -290,10 +292,10 @@
     async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
-        watch.discovery.set_address((LOCAL, 1))  # connection refused
+        watch.discovery.set_address((LOOPBACK, 1))  # connection refused
         watch.peer.writers[0].write(chunk(list_line(78)))
         assert (await watch.next_update()).version == 78
-        watch.discovery.set_address((LOCAL, watch.peer.port))
+        watch.discovery.set_address((LOOPBACK, watch.peer.port))
         assert b"from=78 " in await watch.peer.answer(RESPONSE_HEAD)
 
     run_watch_scenario(scenario)
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -9,7 +9,7 @@
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from rushroad.proxy.endpoint_decoder import ENDPOINT_STATES, MAX_ENDPOINTS_PER_PART
 from rushroad.proxy.json_splitter import MAX_RUN_BYTES, JsonRun, JsonSplitter
-from tests.support.loopback import LOCAL
+from tests.support.loopback import LOOPBACK
 from tests.support.watch import (
     LONG_LIST_SIZE,
     LONG_LIST_VERSION,
@@ -39,7 +39,7 @@
             "s-1", EndpointState.READY, endpoint_class=1, zone=0, cell=3, started_at=5_000, weight=1.0
         )
         assert update == EndpointUpdate(UpdateKind.DELTA, 42, (endpoint,))
-        assert listed == [(endpoint, (LOCAL, 81))]
+        assert listed == [(endpoint, (LOOPBACK, 81))]
         assert (await watch.next_update()).endpoints[0].state is EndpointState.DRAINING
 
     run_watch_scenario(scenario)
--- a/tests/proxy/test_endpoint_lists.py
+++ b/tests/proxy/test_endpoint_lists.py
@@ -14,7 +14,7 @@
 from rushroad.proxy.upstream import Upstream
 from rushroad.proxy.upstream_connection import UpstreamConnection
 from tests.support.attempts import ATTEMPT_SETTINGS, OK, request_in_flight
-from tests.support.loopback import LOCAL, Peer, RecordingEngine, run
+from tests.support.loopback import LOOPBACK, Peer, RecordingEngine, run
 from tests.support.watch import LONG_LIST_SIZE, RESPONSE_HEAD, WatchHarness, chunk, run_watch_scenario
 
 pytestmark = pytest.mark.usefixtures("no_settle_time")
@@ -38,7 +38,7 @@
         last: bool = True,
         state: EndpointState = EndpointState.READY,
     ) -> None:
-        listed = [(Endpoint(f"s-{n}", state), (LOCAL, self.peer.port)) for n in numbers]
+        listed = [(Endpoint(f"s-{n}", state), (LOOPBACK, self.peer.port)) for n in numbers]
         self.upstream.update_endpoints(listed, is_snapshot, first, last)
 
     def send(self, number: int) -> None:
@@ -47,12 +47,12 @@
         self.upstream.start(attempt, 10_000_000)
 
     async def result(self) -> Result:
-        return (await self.engine.ended.get())[1]
+        return (await self.engine.outcomes.get())[1]
 
     async def send_and_answer(self, number: int) -> asyncio.StreamWriter:
         """Send an attempt and answer it; return the peer's side of its connection."""
         self.send(number)
-        while not (received := await self.peer.hear())[1]:
+        while not (received := await self.peer.receive())[1]:
             pass
         received[0].write(OK)
         assert await self.result() is Result.OK
@@ -74,7 +74,7 @@
         await sender.send_and_answer(7)
         assert list(sender.upstream._pools) == ["s-7"]
         sender.upstream.close_idle(sender.upstream.loop.time() + 60.0)
-        assert (await sender.peer.hear())[1] == b""
+        assert (await sender.peer.receive())[1] == b""
         sender.upstream._sweep_idle()
         assert not sender.upstream._pools
         await sender.send_and_answer(7)
@@ -91,7 +91,7 @@
         sender.update(range(100, LONG_LIST_SIZE), True, first=False, last=False)
         await sender.send_and_answer(7)
         sender.update(range(0), True, first=False)
-        assert (await sender.peer.hear())[1] == b""  # the idle connection of s-7
+        assert (await sender.peer.receive())[1] == b""  # the idle connection of s-7
         sender.send(7)
         assert await sender.result() is Result.CONNECT_FAILED
         await sender.send_and_answer(LONG_LIST_SIZE - 1)
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -40,7 +40,7 @@
 from rushroad.proxy.upstream import Upstream
 from tests.support.attempts import LONG_TIMEOUT_US, OK, endpoint_at
 from tests.support.gateway_driver import SETTINGS
-from tests.support.loopback import LOCAL, SCHEMA, DelayedConnectLoop, Peer, call, resp, run
+from tests.support.loopback import LOOPBACK, SCHEMA, DelayedConnectLoop, Peer, call, resp, run
 from tests.support.scripted_policy import Script, ScriptedPolicy, install_policy
 
 
@@ -84,8 +84,8 @@
                 upstream.update_endpoints(endpoint_at(endpoint.port), True)
                 engine.counter = InstantCounter(engine)
                 listener = ClientListener(engine, SCHEMA, 8, loop)
-                await listener.listen(LOCAL, 0)
-                client = await asyncio.open_connection(LOCAL, listener.port)
+                await listener.listen(LOOPBACK, 0)
+                client = await asyncio.open_connection(LOOPBACK, listener.port)
                 await scenario(EngineHarness(engine, policy, endpoint, *client))
                 upstream.close()
 
@@ -235,7 +235,7 @@
         stub = typing.cast(Call, UnanswerableCall())
         gateway.engine.client_disconnected(gateway.engine.submit(stub))  # before the policy gets the request
         await done.wait()
-        assert gateway.endpoint.came.empty()
+        assert gateway.endpoint.received_chunks.empty()
 
     events = run_engine_scenario(script, scenario)
     not_forwarded = AttemptOutcome(1, 0, "s-1", Result.NOT_FORWARDED, 0, True)
@@ -261,14 +261,14 @@
         delayed_loop = DelayedConnectLoop()
         gateway.engine.backend.loop = typing.cast(asyncio.AbstractEventLoop, delayed_loop)
         gateway.writer.write(call(1))
-        await delayed_loop.asked.wait()
+        await delayed_loop.connect_requested.wait()
         if end == "disconnected":
             gateway.writer.close()
         else:
             gateway.engine.post(TimerFired(1))
-        await delayed_loop.done.wait()
+        await delayed_loop.cancelled_connect_done.wait()
         await done.wait()
-        assert (await gateway.endpoint.hear())[1] == b""  # closed without a byte written
+        assert (await gateway.endpoint.receive())[1] == b""  # closed without a byte written
 
     events = run_engine_scenario(script, scenario)
     (outcome,) = [event for event in events if isinstance(event, AttemptOutcome)]
@@ -283,7 +283,7 @@
 
     async def scenario(gateway: EngineHarness) -> None:
         gateway.writer.write(call(1) + call(2))
-        await gateway.endpoint.hear()
+        await gateway.endpoint.receive()
         gateway.engine.answer_all()
         assert await gateway.reader.readline() == b"-ERR failed\r\n"  # it may have been executed
         assert await gateway.reader.readline() == b"-BUSY\r\n"  # it was never forwarded
@@ -340,9 +340,9 @@
 
     async def scenario(gateway: EngineHarness) -> None:
         gateway.writer.write(call(1))
-        assert (await gateway.endpoint.hear())[1] != b""
+        assert (await gateway.endpoint.receive())[1] != b""
         assert await gateway.reader.readline() == b"-ERR failed\r\n"
-        assert (await gateway.endpoint.hear())[1] == b""
+        assert (await gateway.endpoint.receive())[1] == b""
         await done.wait()
 
     events = run_engine_scenario(script, scenario)
@@ -361,7 +361,7 @@
     async def scenario(gateway: EngineHarness) -> None:
         reader, writer = gateway.reader, gateway.writer
         writer.write(call(1))
-        endpoint, _ = await gateway.endpoint.hear()
+        endpoint, _ = await gateway.endpoint.receive()
         gateway.engine.post(TimerFired(1))
         assert await reader.readline() == b"-BUSY\r\n"
         writer.write(call(1))
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -10,7 +10,7 @@
 
 from rushroad.policy.events import EndpointState, Result
 from tests.support.attempts import OK, UpstreamHarness, endpoint_at, run_upstream_scenario
-from tests.support.loopback import LOCAL, DelayedConnectLoop, Peer, resp, run
+from tests.support.loopback import LOOPBACK, DelayedConnectLoop, Peer, resp, run
 
 pytestmark = pytest.mark.usefixtures("no_settle_time")
 
@@ -18,7 +18,7 @@
 def test_refused_connect_is_connect_failed() -> None:
     async def scenario() -> None:
         with socket.socket() as bound:  # not listening
-            bound.bind((LOCAL, 0))
+            bound.bind((LOOPBACK, 0))
             harness = UpstreamHarness(bound.getsockname()[1])
             harness.send()
             assert await harness.outcome() == (1, Result.CONNECT_FAILED)
@@ -32,9 +32,9 @@
         await peer.answer(OK)  # the connection is established, so the time-out can't occur while connecting
         await harness.outcome()
         harness.send(timeout=20_000)
-        assert (await peer.hear())[1] != b""
+        assert (await peer.receive())[1] != b""
         assert await harness.outcome() == (2, Result.TIMEOUT)
-        assert (await peer.hear())[1] == b""
+        assert (await peer.receive())[1] == b""
 
     run_upstream_scenario(scenario)
 
@@ -46,7 +46,7 @@
         timed_out = harness.send(timeout=0, size=12)
         assert await harness.outcome() == (timed_out.request_id, Result.CONNECT_FAILED)
         harness.send(size=13)
-        while (received := (await peer.hear())[1]) == b"":
+        while (received := (await peer.receive())[1]) == b"":
             pass
         assert received == resp(b"CALL.GET", b"x" * 13)
 
@@ -65,7 +65,7 @@
         assert await harness.outcome() == (1, Result.CONNECT_FAILED)
         harness.upstream.update_endpoints(endpoint_at(peer.port), False)
         harness.send(size=12)
-        while (received := (await peer.hear())[1]) == b"":
+        while (received := (await peer.receive())[1]) == b"":
             pass
         assert received == resp(b"CALL.GET", b"x" * 12)
 
@@ -78,11 +78,11 @@
         loop = DelayedConnectLoop()
         harness.upstream.loop = cast(asyncio.AbstractEventLoop, loop)
         harness.send(size=11)
-        await loop.asked.wait()
+        await loop.connect_requested.wait()
         harness.upstream.update_endpoints(endpoint_at(peer.port, started=7), False)
-        loop.go_on.set()
+        loop.connect_allowed.set()
         assert await harness.outcome() == (1, Result.NOT_FORWARDED)
-        assert (await peer.hear())[1] == b""
+        assert (await peer.receive())[1] == b""
 
     run_upstream_scenario(scenario)
 
@@ -90,7 +90,7 @@
 def test_attempt_beyond_the_connection_limit_is_not_forwarded() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
-        writer, _ = await peer.hear()
+        writer, _ = await peer.receive()
         harness.send()
         assert await harness.outcome() == (2, Result.NOT_FORWARDED)
         writer.write(OK)
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -7,7 +7,7 @@
 
 from rushroad.policy.events import Result
 from tests.support.attempts import OK, UpstreamHarness, run_upstream_scenario
-from tests.support.loopback import LOCAL, Peer, resp, run
+from tests.support.loopback import LOOPBACK, Peer, resp, run
 
 pytestmark = pytest.mark.usefixtures("no_settle_time")
 
@@ -29,7 +29,7 @@
         harness.send()
         await peer.answer(response)
         await harness.outcome()
-        assert (await peer.hear())[1] == b""
+        assert (await peer.receive())[1] == b""
 
     run_upstream_scenario(scenario)
 
@@ -40,7 +40,7 @@
         await peer.answer(OK)
         await harness.outcome()
         peer.writers[0].write(b"+hello\r\n")
-        assert (await peer.hear())[1] == b""
+        assert (await peer.receive())[1] == b""
 
     run_upstream_scenario(scenario)
 
@@ -48,7 +48,7 @@
 def test_break_after_the_command_was_written_is_a_reset() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
-        (await peer.hear())[0].transport.abort()
+        (await peer.receive())[0].transport.abort()
         assert await harness.outcome() == (1, Result.RESET)
 
     run_upstream_scenario(scenario)
@@ -56,7 +56,7 @@
 
 def test_break_before_the_whole_command_was_written_is_connect_failed() -> None:
     async def scenario() -> None:
-        with socket.create_server((LOCAL, 0)) as listener:
+        with socket.create_server((LOOPBACK, 0)) as listener:
             listener.setblocking(False)
             harness = UpstreamHarness(listener.getsockname()[1])
             harness.send(size=32 << 20)  # more than the socket buffers hold
@@ -78,7 +78,7 @@
         for transport in harness.transports():
             transport.close()
         harness.send(size=12)
-        while (received := (await peer.hear())[1]) == b"":
+        while (received := (await peer.receive())[1]) == b"":
             pass
         peer.writers[-1].write(OK)
         assert received == resp(b"CALL.GET", b"x" * 12)
@@ -90,7 +90,7 @@
 def test_connection_with_unread_bytes_is_not_used() -> None:
     # If the event loop was busy, a duplicate response may still be unread in the socket.
     async def scenario() -> None:
-        with socket.create_server((LOCAL, 0)) as listener:
+        with socket.create_server((LOOPBACK, 0)) as listener:
             harness = UpstreamHarness(listener.getsockname()[1])
             loop = asyncio.get_running_loop()
             listener.setblocking(False)
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -12,7 +12,7 @@
 from rushroad.proxy.in_flight import Attempt
 from rushroad.proxy.upstream import Upstream
 from tests.support.gateway_driver import IDEMPOTENT, SETTINGS
-from tests.support.loopback import LOCAL, Peer, RecordingEngine, resp, run
+from tests.support.loopback import LOOPBACK, Peer, RecordingEngine, resp, run
 
 OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$18\r\ninflight=7,queue=2\r\n"
 LONG_TIMEOUT_US = 10_000_000
@@ -41,7 +41,7 @@
     port: int, state: EndpointState = EndpointState.READY, started: int = 0
 ) -> list[tuple[Endpoint, tuple[str, int]]]:
     """An endpoint list with one endpoint, s-1, at this port of the loopback address."""
-    return [(Endpoint("s-1", state, started_at=started), (LOCAL, port))]
+    return [(Endpoint("s-1", state, started_at=started), (LOOPBACK, port))]
 
 
 class UpstreamHarness:
@@ -69,7 +69,7 @@
 
     async def outcome(self) -> tuple[int, Result]:
         """Wait for an attempt to finish; returns the id of its request, and its result."""
-        return (await self.engine.ended.get())[:2]
+        return (await self.engine.outcomes.get())[:2]
 
 
 def run_upstream_scenario(
--- a/tests/support/client_side.py
+++ b/tests/support/client_side.py
@@ -7,7 +7,7 @@
 from rushroad.proxy.client_listener import ClientListener
 from rushroad.proxy.connection_table import ConnectionTable
 from rushroad.proxy.engine import Engine
-from tests.support.loopback import LOCAL, SCHEMA, RecordingEngine, resp, run
+from tests.support.loopback import LOOPBACK, SCHEMA, RecordingEngine, resp, run
 
 PING, PONG = resp(b"PING"), b"+PONG\r\n"
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -27,7 +27,7 @@
 
     async def connect(self) -> Streams:
         """Connect a client."""
-        return await asyncio.open_connection(LOCAL, self.listener.port)
+        return await asyncio.open_connection(LOOPBACK, self.listener.port)
 
 
 Scenario = Callable[[ClientSide], Awaitable[None]]
@@ -41,7 +41,7 @@
 def run_client_scenario(scenario: Scenario, max_connections: int = 8) -> None:
     async def start() -> None:
         gateway = ClientSide(max_connections)
-        await gateway.listener.listen(LOCAL, 0)
+        await gateway.listener.listen(LOOPBACK, 0)
         await scenario(gateway)
         for connection in list(gateway.connections.open):
             connection.transport.abort()
--- a/tests/support/counter_calls.py
+++ b/tests/support/counter_calls.py
@@ -5,7 +5,7 @@
 
 from rushroad.policy.events import CounterReply, LateCounterReply
 from rushroad.proxy.counter_client import CounterClient
-from tests.support.loopback import LOCAL, Peer, run
+from tests.support.loopback import LOOPBACK, Peer, run
 
 SHORT_TIMEOUT = 50_000  # microseconds
 LONG_TIMEOUT = 10_000_000
@@ -33,7 +33,7 @@
     async def start() -> None:
         replies = RecordedReplies()
         async with Peer() as peer:
-            client = CounterClient((LOCAL, peer.port), timeout, replies.post, asyncio.get_running_loop())
+            client = CounterClient((LOOPBACK, peer.port), timeout, replies.post, asyncio.get_running_loop())
             await wait_until_connected(client)
             await scenario(client, peer, replies)
             client.close()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -13,8 +13,8 @@
 from rushroad.proxy.in_flight import Attempt
 from rushroad.proxy.resp import encode_array
 
-LOCAL = "127.0.0.1"
-NAMES = ProxySettings(
+LOOPBACK = "127.0.0.1"
+PROXY_SETTINGS = ProxySettings(
     {"lookup": 0, "order": 1}, {"basic": 0}, {"box": 1}, {"room": 0}, idle_timeout=15_000_000
 )
 SCHEMA = CommandSchema({b"lookup": 0, b"order": 1}, (False, True), {b"basic": 0}, max_units=4.0, fleet_size=3)
@@ -42,16 +42,16 @@
 class Peer:
     """A server controlled by the test.
 
-    `came` holds the received data of all connections in order, with b"" for the end of a connection.
+    `received_chunks` holds the data of all connections in order, with b"" for the end of a connection.
     """
 
     def __init__(self) -> None:
-        self.came: asyncio.Queue[tuple[asyncio.StreamWriter, bytes]] = asyncio.Queue()
+        self.received_chunks: asyncio.Queue[tuple[asyncio.StreamWriter, bytes]] = asyncio.Queue()
         self.writers: list[asyncio.StreamWriter] = []
         self.port = 0
 
     async def __aenter__(self) -> "Peer":
-        self._server = await asyncio.start_server(self._serve, LOCAL, 0)
+        self._server = await asyncio.start_server(self._serve, LOOPBACK, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
@@ -63,18 +63,18 @@
                 data = await reader.read(1 << 20)
             except ConnectionError:
                 data = b""
-            self.came.put_nowait((writer, data))
+            self.received_chunks.put_nowait((writer, data))
 
-    async def hear(self, end: bytes = b"\r\n") -> tuple[asyncio.StreamWriter, bytes]:
+    async def receive(self, end: bytes = b"\r\n") -> tuple[asyncio.StreamWriter, bytes]:
         """Receive until the data ends with `end` or the connection ends; return its writer and the data."""
-        writer, data = await self.came.get()
+        writer, data = await self.received_chunks.get()
         while data and not data.endswith(end):
-            data += (await self.came.get())[1]
+            data += (await self.received_chunks.get())[1]
         return writer, data
 
     async def answer(self, reply: bytes) -> bytes:
         """Receive a command, send a reply and return the command."""
-        writer, data = await self.hear()
+        writer, data = await self.receive()
         writer.write(reply)
         return data
 
@@ -89,13 +89,13 @@
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.ended: asyncio.Queue[tuple[int, Result, bytes, tuple[float, ...]]] = asyncio.Queue()
+        self.outcomes: asyncio.Queue[tuple[int, Result, bytes, tuple[float, ...]]] = asyncio.Queue()
         self.calls: asyncio.Queue[Any] = asyncio.Queue()
         self.disconnected: asyncio.Queue[int] = asyncio.Queue()
         self.ids_in_flight: set[bytes] = set()
         self.actual_units: list[float | None] = []
         self.unanswered: list[Any] = []  # failed by `answer_all`
-        self._count = 0
+        self._request_count = 0
 
     def attempt_finished(
         self,
@@ -106,14 +106,14 @@
         actual_units: float | None = None,
     ) -> None:
         self.actual_units.append(actual_units)
-        self.ended.put_nowait((attempt.request_id, result, value, load_report))
+        self.outcomes.put_nowait((attempt.request_id, result, value, load_report))
 
     def submit(self, call: Any) -> int:
         if call.id in self.ids_in_flight:
             return 0
         self.calls.put_nowait(call)
-        self._count += 1
-        return self._count
+        self._request_count += 1
+        return self._request_count
 
     def client_disconnected(self, request: int) -> None:
         self.disconnected.put_nowait(request)
@@ -124,26 +124,30 @@
 
 
 class DelayedConnectLoop:
-    """An event loop that delays connects until `go_on` is set.
+    """An event loop that delays connects until `connect_allowed` is set.
 
-    A connect that is cancelled while it is delayed is still established later, which sets `done`.
+    A connect that is cancelled while it is delayed is still established, which sets `cancelled_connect_done`.
     """
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self.asked, self.go_on, self.done = asyncio.Event(), asyncio.Event(), asyncio.Event()
+        self.connect_requested, self.connect_allowed, self.cancelled_connect_done = (
+            asyncio.Event(),
+            asyncio.Event(),
+            asyncio.Event(),
+        )
 
     async def create_connection(self, *args: Any) -> Any:
-        self.asked.set()
+        self.connect_requested.set()
         try:
-            await self.go_on.wait()
+            await self.connect_allowed.wait()
         except asyncio.CancelledError:
             self._loop.create_task(self._loop.create_connection(*args)).add_done_callback(self._finish)
             raise
         return await self._loop.create_connection(*args)
 
     def _finish(self, _: object) -> None:
-        self.done.set()
+        self.cancelled_connect_done.set()
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._loop, name)
--- a/tests/support/watch.py
+++ b/tests/support/watch.py
@@ -9,7 +9,7 @@
 from rushroad.policy.events import EndpointUpdate
 from rushroad.proxy.discovery import Discovery
 from rushroad.proxy.endpoint_decoder import DEFAULT_MEMORY_LIMIT_BYTES, ListedEndpoint
-from tests.support.loopback import LOCAL, NAMES, Peer, run
+from tests.support.loopback import LOOPBACK, PROXY_SETTINGS, Peer, run
 
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 CACHED_VERSION = 41  # of the endpoint list from which a watch starts
@@ -41,7 +41,7 @@
 def list_entries(count: int) -> list[dict[str, Any]]:
     """Entries s-0, s-1 and so on; the last endpoint is draining, the others are ready."""
     entries = [
-        {"instanceId": f"s-{n}", "hostPort": f"{LOCAL}:{n % 60_000 + 1}", "lifecycle": "SERVING"}
+        {"instanceId": f"s-{n}", "hostPort": f"{LOOPBACK}:{n % 60_000 + 1}", "lifecycle": "SERVING"}
         for n in range(count)
     ]
     return [*entries[:-1], entries[-1] | {"lifecycle": "DRAINING"}]
@@ -69,8 +69,10 @@
         self.updates: list[EndpointUpdate] = []
         self.update_iterations: list[int] = []  # event loop iteration of each update
         self.loop_iteration = 0
-        address, rng = (LOCAL, peer.port), random.Random(1)
-        self.discovery = Discovery(address, CACHED_VERSION, NAMES, self.on_update, loop, rng, memory_limit)
+        address, rng = (LOOPBACK, peer.port), random.Random(1)
+        self.discovery = Discovery(
+            address, CACHED_VERSION, PROXY_SETTINGS, self.on_update, loop, rng, memory_limit
+        )
 
     def count_loop_iterations(self) -> None:
         """Count iterations of the event loop from now on."""
@@ -96,7 +98,7 @@
 
     async def next_request(self) -> bytes:
         """Wait for the next request to the peer, ignoring connections that close before it."""
-        while (data := (await self.peer.hear())[1]) == b"":
+        while (data := (await self.peer.receive())[1]) == b"":
             pass
         return data
 
