--- a/tests/integration/soak.py
+++ b/tests/integration/soak.py
@@ -31,10 +31,8 @@
     SoakResult,
 )
 
-KILL_AFTER_S, KILL_MARGIN_S = (
-    3.0,
-    0.7,
-)  # SIGKILL follows SIGTERM after min(deadline, KILL_AFTER_S) + KILL_MARGIN_S
+# SIGKILL follows SIGTERM after min(deadline, KILL_AFTER_S) + KILL_MARGIN_S.
+KILL_AFTER_S, KILL_MARGIN_S = 3.0, 0.7
 MAX_RUNS = 3  # of a seed, while its runs are inconclusive
 CLOSE_RACE_S = 0.1  # a write and the close of its connection may race within this time
 MAX_STALL_S = 0.15  # of a gateway; deadlines, deduplication windows and the drain grace allow for it
--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -198,7 +198,7 @@
                 closing.append(gateway.client)
                 writer.write(b"-ERR failed\r\n")
             await wait_until(lambda: gateway.cancelled_requests() >= submitted)
-            assert (await gateway.serve(other, 1_000)).count(b"CALL.GET") == 1  # and nothing before it
+            assert (await gateway.serve(other, 1_000)).count(b"CALL.GET") == 1  # and no attempt before it
 
     run_gateway_scenario(script, scenario)
 
@@ -219,7 +219,7 @@
             gateway.counter.reply_all()
             await wait_until(lambda: gateway.cancelled_requests() == 1)
             upstream.loop = asyncio.get_running_loop()
-            assert (await gateway.serve(other, 3)).count(b"CALL.GET") == 1  # and nothing before it
+            assert (await gateway.serve(other, 3)).count(b"CALL.GET") == 1  # and no attempt before it
 
     run_gateway_scenario(retry_after_pause, scenario)
 
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -9,8 +9,8 @@
 from rushroad.proxy import counter_client
 from rushroad.proxy.counter_client import CounterClient
 from tests.support.counter_calls import (
-    LONG_TIMEOUT,
-    SHORT_TIMEOUT,
+    LONG_TIMEOUT_US,
+    SHORT_TIMEOUT_US,
     RecordedReplies,
     run_with_counter_client,
     wait_until_connected,
@@ -33,7 +33,7 @@
         assert replies.late.get_nowait() == LateCounterReply(8, 1.0, 1.0)
         assert replies.late.empty()
 
-    run_with_counter_client(scenario, SHORT_TIMEOUT)
+    run_with_counter_client(scenario, SHORT_TIMEOUT_US)
 
 
 def test_late_total_over_the_quota_makes_the_policy_reject_the_next_request() -> None:
@@ -50,7 +50,7 @@
         driver.handle(await replies.late.get())
         assert action_names(driver.request()) == ["Reject"]
 
-    run_with_counter_client(scenario, SHORT_TIMEOUT)
+    run_with_counter_client(scenario, SHORT_TIMEOUT_US)
 
 
 def test_call_on_a_broken_connection_is_reset_and_without_a_connection_is_connect_failed() -> None:
@@ -71,7 +71,7 @@
         received[0].write(b"ok 1\r\n")
         assert (await replies.get()).result is Result.OK
 
-    run_with_counter_client(scenario, LONG_TIMEOUT)
+    run_with_counter_client(scenario, LONG_TIMEOUT_US)
 
 
 def test_calls_for_a_name_move_in_order_to_the_other_connection_after_an_invalid_reply() -> None:
@@ -92,7 +92,7 @@
         received[0].write(b"ok 3\r\nok 6\r\n")
         assert [(await replies.get()).total for _ in range(2)] == [3.0, 6.0]
 
-    run_with_counter_client(scenario, LONG_TIMEOUT)
+    run_with_counter_client(scenario, LONG_TIMEOUT_US)
 
 
 def test_lost_connection_that_had_replied_is_replaced_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -107,7 +107,7 @@
         while len(peer.writers) < 3:
             await asyncio.sleep(0.001)
 
-    run_with_counter_client(scenario, LONG_TIMEOUT)
+    run_with_counter_client(scenario, LONG_TIMEOUT_US)
 
 
 def test_calls_in_flight_finish_at_the_old_address_and_new_ones_go_to_the_new_one_once_connected() -> None:
@@ -131,7 +131,7 @@
             assert await peer.receive() == (writer, b"")  # closed once no call is in flight on it
             client.close()
 
-    run_with_counter_client(scenario, LONG_TIMEOUT)
+    run_with_counter_client(scenario, LONG_TIMEOUT_US)
 
 
 def test_late_total_from_the_old_address_is_not_reported() -> None:
@@ -151,4 +151,4 @@
             assert replies.late.empty()
             client.close()
 
-    run_with_counter_client(scenario, SHORT_TIMEOUT)
+    run_with_counter_client(scenario, SHORT_TIMEOUT_US)
--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -5,7 +5,7 @@
 from rushroad.policy.events import Result
 from rushroad.proxy import counter_client, counter_connection
 from rushroad.proxy.counter_client import CounterClient
-from tests.support.counter_calls import LONG_TIMEOUT, RecordedReplies, run_with_counter_client
+from tests.support.counter_calls import LONG_TIMEOUT_US, RecordedReplies, run_with_counter_client
 from tests.support.loopback import Peer
 
 
@@ -28,7 +28,7 @@
         posted = await replies.get()
         assert (posted.name, posted.result, posted.total) == (0xABC, result, total)
 
-    run_with_counter_client(scenario, LONG_TIMEOUT)
+    run_with_counter_client(scenario, LONG_TIMEOUT_US)
 
 
 def test_calls_of_one_name_share_a_connection_and_get_their_replies_in_order() -> None:
@@ -42,7 +42,7 @@
         writer.write(b"\nok 6\r\n")
         assert [(await replies.get()).total for _ in range(3)] == [1.0, 3.0, 6.0]
 
-    run_with_counter_client(scenario, LONG_TIMEOUT)
+    run_with_counter_client(scenario, LONG_TIMEOUT_US)
 
 
 def test_idle_connection_is_kept_open_by_pings(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -57,7 +57,7 @@
         client.add(name, 1.0, 1_000)
         assert replies.empty()
 
-    run_with_counter_client(scenario, LONG_TIMEOUT)
+    run_with_counter_client(scenario, LONG_TIMEOUT_US)
 
 
 def test_connection_without_replies_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -70,7 +70,7 @@
         assert (await peer.receive())[1] == b""
         assert (await replies.get()).result is Result.RESET
 
-    run_with_counter_client(scenario, LONG_TIMEOUT)
+    run_with_counter_client(scenario, LONG_TIMEOUT_US)
 
 
 def test_call_while_all_connections_are_closing_is_connect_failed() -> None:
@@ -82,4 +82,4 @@
         client.add(8, 1.0, 1_000_000)
         assert (await replies.get()).result is Result.CONNECT_FAILED
 
-    run_with_counter_client(scenario, LONG_TIMEOUT)
+    run_with_counter_client(scenario, LONG_TIMEOUT_US)
--- a/tests/support/counter_calls.py
+++ b/tests/support/counter_calls.py
@@ -7,8 +7,8 @@
 from rushroad.proxy.counter_client import CounterClient
 from tests.support.loopback import LOOPBACK, Peer, run
 
-SHORT_TIMEOUT = 50_000  # microseconds
-LONG_TIMEOUT = 10_000_000
+SHORT_TIMEOUT_US = 50_000
+LONG_TIMEOUT_US = 10_000_000
 
 
 class RecordedReplies(asyncio.Queue[CounterReply]):
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -27,7 +27,7 @@
 
 
 def run_with_timeout(timeout_s: float, scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a scenario that may take until the timeout."""
+    """Run a scenario, which fails if it takes longer than the timeout."""
     uvloop.run(asyncio.wait_for(scenario(), timeout_s))
 
 
