--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -68,22 +68,23 @@
 
     def update_endpoints(
         self,
-        entries: Iterable[tuple[Endpoint, tuple[str, int]]],
+        listed: Iterable[tuple[Endpoint, tuple[str, int]]],
         is_snapshot: bool,
-        first: bool = True,
-        last: bool = True,
+        is_first_part: bool = True,
+        is_last_part: bool = True,
     ) -> None:
-        """Apply a delta, or one part of a snapshot, of the endpoint list; entries hold host and port.
+        """Apply a delta, or one part of a snapshot, of the endpoint list.
 
-        Endpoints that no part of a snapshot names are removed after its last part.
+        listed: each endpoint with its host and port. Endpoints that no part of a snapshot names are removed
+        after its last part.
         """
-        if is_snapshot and first:
+        if is_snapshot and is_first_part:
             self._addresses.begin_snapshot()
-        for endpoint, host_port in entries:
+        for endpoint, host_port in listed:
             address = self._addresses.update(endpoint, host_port)
             if (pool := self._pools.get(endpoint.name)) is not None:
                 pool.update(address, endpoint.state is EndpointState.READY)
-        if is_snapshot and last:
+        if is_snapshot and is_last_part:
             for name in self._addresses.finish_snapshot():
                 if (pool := self._pools.get(name)) is not None:
                     pool.stop()
@@ -122,14 +123,14 @@
         finally:
             self._connecting.pop(attempt, None)
         if not connection.is_open() or pool.stopped:
-            # A draining endpoint still accepts requests for a grace period. The gateway does not know when
-            # the drain began, so it sends nothing within the grace period either.
+            # A draining endpoint accepts requests until its grace period ends, but the gateway does not know
+            # when the drain began, so it sends none from the moment it learns of the drain.
             connection.close()
             self.finish(attempt, failure)
         elif connection.address != pool.address:
             connection.close()
             self.finish(attempt, Result.NOT_FORWARDED)  # the endpoint has moved or restarted meanwhile
-        elif attempt.call.poll_disconnect():  # the engine is told and withdraws the attempt
+        elif attempt.call.poll_disconnect():  # the engine has been notified and withdraws the attempt
             pool.add(connection)
             pool.release(connection)
         else:
@@ -181,7 +182,7 @@
         self._abandon(attempt, Result.TIMEOUT)
 
     def _abandon(self, attempt: Attempt, result: Result) -> None:
-        """End an attempt before its response; without a connection its command is never written."""
+        """End an attempt before its response, as CONNECT_FAILED if its command has no connection yet."""
         connection = self._in_flight[attempt].connection
         if connection is None:
             self._cancel_connect(attempt)
--- a/tests/proxy/test_upstream_endpoint_lists.py
+++ b/tests/proxy/test_upstream_endpoint_lists.py
@@ -34,12 +34,12 @@
         self,
         numbers: range,
         is_snapshot: bool,
-        first: bool = True,
-        last: bool = True,
+        is_first_part: bool = True,
+        is_last_part: bool = True,
         state: EndpointState = EndpointState.READY,
     ) -> None:
         listed = [(Endpoint(f"s-{n}", state), (LOCAL, self.peer.port)) for n in numbers]
-        self.upstream.update_endpoints(listed, is_snapshot, first, last)
+        self.upstream.update_endpoints(listed, is_snapshot, is_first_part, is_last_part)
 
     def send(self, number: int) -> None:
         self.count += 1
@@ -86,11 +86,11 @@
     async def scenario(sender: Sender) -> None:
         sender.update(range(LONG_LIST_SIZE), True)
         await sender.send_and_answer(7)
-        sender.update(range(7), True, last=False)  # never completed
-        sender.update(range(8, 100), True, last=False)  # a new snapshot
-        sender.update(range(100, LONG_LIST_SIZE), True, first=False, last=False)
+        sender.update(range(7), True, is_last_part=False)  # never completed
+        sender.update(range(8, 100), True, is_last_part=False)  # a new snapshot
+        sender.update(range(100, LONG_LIST_SIZE), True, is_first_part=False, is_last_part=False)
         await sender.send_and_answer(7)
-        sender.update(range(0), True, first=False)
+        sender.update(range(0), True, is_first_part=False)
         assert (await sender.peer.hear())[1] == b""  # the idle connection of s-7
         sender.send(7)
         assert await sender.result() is Result.CONNECT_FAILED
