--- a/rushroad/proxy/endpoint_pool.py
+++ b/rushroad/proxy/endpoint_pool.py
@@ -27,7 +27,11 @@
         self.stopped = False  # the endpoint is draining or removed and gets no new attempts
 
     def acquire(self, idempotent: bool) -> UpstreamConnection | None:
-        """Return the most recently used idle connection whose settle time has passed, or None."""
+        """Return the most recently used idle connection that may be reused, or None.
+
+        It may be once its settle time has passed, and as long as idle_reset_rates allows its idle time.
+        idempotent: whether the request that is to be sent on it is idempotent.
+        """
         now = self.upstream.loop.time()
         for connection in reversed(self.idle):
             idle_time = now - connection.idle_since
@@ -70,7 +74,7 @@
         self.upstream.pools_to_check.add(self)
 
     def is_needed(self) -> bool:
-        """Return whether the pool has connections, or abandoned attempts of a ready endpoint on record."""
+        """Return whether it has open or pending connections, or abandoned attempts of a ready endpoint."""
         return bool(
             self.connections or self.connecting_count or (self.consecutive_abandoned and not self.stopped)
         )
--- a/rushroad/proxy/upstream_connection.py
+++ b/rushroad/proxy/upstream_connection.py
@@ -15,7 +15,7 @@
     from rushroad.proxy.endpoint_pool import EndpointPool
     from rushroad.proxy.in_flight import Attempt
 
-MALFORMED_RESPONSE = b"malformed"  # decoded in place of bytes that are not a RESP message; not a known error
+MALFORMED_RESPONSE = b"malformed"  # stands for data that is not RESP; decoded as an invalid response
 
 
 class UpstreamConnection(asyncio.Protocol):
@@ -30,7 +30,7 @@
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
         self.idle_since = 0.0  # seconds of the loop's clock
-        self.idle_time: float | None = None  # seconds, before the current attempt; None once data arrives
+        self.idle_time: float | None = None  # seconds idle before the current attempt; None once data arrives
         self.has_unwritten_data = False  # part of the command is still in the transport's write buffer
         self.failed_locally = False  # connected, but unusable because of an error of this host
         self._closed = False
@@ -44,7 +44,7 @@
         self.transport = transport
         try:
             self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
-        except OSError:  # the event loop's query for the socket's address can fail temporarily
+        except OSError:  # get_extra_info queries the socket's address, which can fail temporarily
             self.failed_locally = True
             self.close()
         if self._closed:  # closed while connecting
