--- a/rushroad/proxy/counter_client.py
+++ b/rushroad/proxy/counter_client.py
@@ -1,5 +1,6 @@
 """The counter service client: calls are pipelined on a few persistent connections.
 
+The counter keeps a total under each name; the calls of a name add to its total and are answered with it.
 Times in seconds of the event loop's clock end in `_s`, those in microseconds in `_us`.
 """
 
@@ -21,7 +22,7 @@
 
 CONNECTION_COUNT = 2
 CONNECT_TIMEOUT_S = 1.0
-INITIAL_RECONNECT_DELAY_S = 0.05  # before the second connect in a row; doubled for each further one
+INITIAL_RECONNECT_DELAY_S = 0.05  # before the second reconnect in a row; doubled for each further one
 MAX_RECONNECT_DELAY_S = 0.4
 MONITOR_INTERVAL_S = 0.5
 
@@ -104,8 +105,8 @@
     def handle_reply(self, call: CounterCall, line: bytes, is_retired: bool) -> None:
         """Process the reply to a call; raises InvalidReplyError if the line is not a valid reply.
 
-        Late totals from a retired connection are dropped, as they may come from a different counter than the
-        one now in use.
+        is_retired: whether the call's connection has been replaced. A late total is then dropped, as it may
+        come from a different counter than the one now in use.
         """
         if call.counter_name is None:
             if line != PING_REPLY:
@@ -141,8 +142,8 @@
     async def _maintain_connection(self, index: int) -> None:
         """Keep one connection open: reconnect when it is lost, at once if it had replied.
 
-        Meanwhile calls for its names may go uncounted. After a connection without a reply the delay grows, so
-        that repeated resets don't make the event loop spin.
+        While no connection is usable, calls fail and their amounts go uncounted. After a connection without a
+        reply the delay grows, so that repeated resets don't make the event loop spin.
         """
         delay_s = 0.0
         while True:
--- a/rushroad/proxy/counter_connection.py
+++ b/rushroad/proxy/counter_connection.py
@@ -110,7 +110,7 @@
         return not self.calls and now_s - self._last_received_at_s > IDLE_PING_AFTER_S and self.is_usable()
 
     def retire(self) -> None:
-        """Take no new calls, and close when all calls have their replies or the time for these has passed."""
+        """Take no new calls; close when all calls have their replies, or after UNRESPONSIVE_AFTER_S."""
         self.is_retired = True
         self._client.loop.call_later(UNRESPONSIVE_AFTER_S if self.calls else 0, self.close)
 
--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -25,8 +25,8 @@
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         client.add(0xABC, -2.5, 4_000_001)
         assert await peer.answer(reply) == b"bump abc -2.500000 4001\r\n"
-        posted = await replies.get()
-        assert (posted.counter_name, posted.result, posted.total) == (0xABC, result, total)
+        received = await replies.get()
+        assert (received.counter_name, received.result, received.total) == (0xABC, result, total)
 
     run_with_counter_client(scenario, LONG_TIMEOUT)
 
