--- a/rushroad/proxy/discovery.py
+++ b/rushroad/proxy/discovery.py
@@ -24,8 +24,9 @@
 )
 from rushroad.proxy.nonblocking_log import log
 
-# Time without data after which another watch is opened: more than two heartbeat intervals. An update counts
-# as notified 6 s after the agent has it, whether or not it has arrived.
+# Time without data after which another watch is opened: more than two heartbeat intervals. It leaves time to
+# receive an update from the other watch, as the gateway counts as notified of an update 6 s after the agent
+# has it, even if it has not arrived.
 SILENCE_TIMEOUT_S = 4.2
 RESPONSE_TIMEOUT_S = 0.3  # for the local agent to answer, before another watch is opened
 # The reconnect delays are short because a drain, which has a short grace period, may be missed meanwhile.
@@ -194,13 +195,13 @@
         self._on_update = on_update
         self._backoff = Backoff(INITIAL_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S, rng)
         self._newest_seen_version = version  # the newest version of which at least one part was received
-        self._not_ready: set[str] = set()  # endpoints that its parts list as draining or removed
+        self._not_ready: set[str] = set()  # endpoints that this version's parts list as draining or removed
         self._watch: WatchConnection | None = None  # the last one that was established
         self._pending_watches: list[WatchConnection] = []  # not established yet
         self._task = loop.create_task(self._maintain_watch())
 
     def set_address(self, address: Address) -> None:
-        """Watch at another address, from the current version; the old watch is read until it answers."""
+        """Watch at another address, from the current version; until it answers, the old watch is read."""
         if address == self.address:
             return
         self.address = address
@@ -240,7 +241,7 @@
         ]
 
     def _record_not_ready(self, update: EndpointUpdate, ends_list: bool) -> None:
-        """Record drains and removals until their list is complete; if it is cut off, an older may follow."""
+        """Record drains and removals until their list is complete; an older list may follow one cut off."""
         self._newest_seen_version = update.version
         for endpoint in update.endpoints:
             if endpoint.state is EndpointState.READY:
@@ -267,7 +268,7 @@
         """Open watches until one is established, then wait until it ends or its silence timeout expires.
 
         An unanswered watch stays open while the next one is tried: an agent that was unreachable may answer
-        any of them once it is back, and the updates that it sends count as notified.
+        any of them once it is back, and the gateway counts as notified of the updates that it sends.
         """
         while True:
             self._pending_watches = [
--- a/rushroad/proxy/endpoint_decoder.py
+++ b/rushroad/proxy/endpoint_decoder.py
@@ -23,10 +23,10 @@
 MAX_ENDPOINTS_PER_PART = 250  # processed in one event loop iteration, in about 2 ms
 DEFAULT_MEMORY_LIMIT_BYTES = 192 << 20  # of a gateway process
 # Shares of the memory limit for the text of one list, and for text that is buffered until the list's version
-# arrives. The endpoint tables of a list take about as much memory as its text.
+# arrives. The endpoint tables built from a list take about as much memory as its text.
 LIST_TEXT_SHARE = 0.25
 BUFFERED_TEXT_SHARE = 0.17
-MEMORY_PER_ENDPOINT_BYTES = 1024  # of the memory limit for each endpoint of the longest list
+MEMORY_PER_ENDPOINT_BYTES = 1024  # of the memory limit, for each endpoint that a list may have
 VERSION_LIMIT = 1 << 63  # a larger version would make all later updates look old
 # Raised when keys and values of JSON with an unexpected structure are read.
 UNEXPECTED_JSON_ERRORS = (ArithmeticError, AttributeError, KeyError, TypeError, ValueError)
@@ -65,7 +65,7 @@
 
 
 def _coerce_entry(entry: Any) -> EndpointEntry:
-    """Convert an entry in plain JSON, and its values to the expected types.
+    """Convert an entry in plain JSON to EndpointEntry, and its values to the expected types.
 
     Raises one of UNEXPECTED_JSON_ERRORS if that is impossible.
     """
@@ -132,7 +132,9 @@
             f"expected a version from 0 to 2**63 - 1 in 'generation', got {version!r}"
         )
     if document["instances"] != []:
-        raise MalformedEndpointListError("expected an array in 'instances'")
+        raise MalformedEndpointListError(
+            f"expected an array in 'instances', got {type(document['instances']).__name__}"
+        )
     if kind is None:
         if not isinstance(document["reset"], bool):
             raise MalformedEndpointListError(f"expected true or false in 'reset', got {document['reset']!r}")
@@ -181,6 +183,7 @@
         self._runs: deque[bytes] = deque()  # of entries that are not parsed yet
         self._entries: list[Any] = []  # parsed, not returned yet
         self._text_bytes = 0  # of this list's entries so far
+        # Whether the next part is the first, and whether the list's text has arrived up to its end.
         self._is_first_part, self._all_received = True, False
         self._parsed_count = self._decoded_count = 0  # entries parsed, and entries that could be read
 
@@ -232,7 +235,9 @@
         if run.ends_document or {"generation", "reset"} <= document.keys():
             header = _read_header(document, self._kind)
             if self._header not in (None, header):
-                raise MalformedEndpointListError("endpoint list states two versions or kinds")
+                raise MalformedEndpointListError(
+                    f"endpoint list states two versions or kinds: {self._header}, then {header}"
+                )
             self._header = header
         self._all_received = run.ends_document
         if run.entries:
@@ -261,7 +266,9 @@
         self._is_first_part = is_first_part and not listed
         if ends_list:
             if self._parsed_count and not self._decoded_count and kind is not UpdateKind.DELTA:
-                raise MalformedEndpointListError("snapshot has no endpoint that can be read")
+                raise MalformedEndpointListError(
+                    f"snapshot has {self._parsed_count} entries, none of which can be read"
+                )
             self._start_list()
         is_delta = kind is UpdateKind.DELTA  # each part of a delta is complete in itself
         update = EndpointUpdate(
