--- a/rushroad/proxy/json_splitter.py
+++ b/rushroad/proxy/json_splitter.py
@@ -125,7 +125,7 @@
             if not self._text:
                 return None
             if not self._text.startswith(b"{"):
-                raise MalformedJsonError("expected a JSON object")
+                raise MalformedJsonError(f"expected a JSON object, got {self._text[:80]!r}")
             if not self._find_array():
                 return self._find_document_end()
         entries = b"" if self._array_ended else self._split_entries()
@@ -134,6 +134,7 @@
         return JsonRun(self._document, entries, ends_document=False) if entries else None
 
     def _find_array(self) -> bool:
+        """Split off the text up to the array; returns False if the array is missing or has not arrived."""
         window = self._text[:MAX_DOCUMENT_BYTES]
         for found in self._array_start.finditer(window):
             try:
@@ -149,7 +150,7 @@
         return False
 
     def _find_document_end(self) -> JsonRun | None:
-        """Return the end of a document whose array is split or missing; None if it has not arrived."""
+        """Return the run that ends a document whose array is split or missing; None if it has not arrived."""
         window = self._text[:MAX_DOCUMENT_BYTES]
         text = (self._head + window[: window.rfind(b"}") + 1]).decode()
         found = _decode_document(text) if text.endswith("}") else None
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -25,7 +25,7 @@
 pytestmark = pytest.mark.usefixtures("fresh_log")
 
 
-def test_new_watch_resumes_from_the_current_version_and_a_reset_sends_a_snapshot() -> None:
+def test_new_watch_resumes_from_the_current_version_and_a_list_with_reset_is_a_snapshot() -> None:
     async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
@@ -115,7 +115,8 @@
 
 
 def test_silent_watch_is_read_until_another_receives_data(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Updates that a silent watch misses soon count as notified; updates that it still sends are valid.
+    # Updates that a silent watch misses soon count as notified, so another is opened. Those that it still
+    # sends are valid.
     async def scenario(watch: WatchHarness) -> None:
         await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(42)))
         await watch.next_update()
@@ -130,7 +131,8 @@
         writer.write(chunk(list_line(44)))
         assert (await watch.next_update()).version == 44
 
-    # Longer than two heartbeats, with time to open another watch before an update counts as notified.
+    # More than two heartbeat intervals of 2 s, and 1 s is left to open another watch before the 6 s after
+    # which the gateway counts as notified of an update.
     assert 2 * 2.0 < discovery_module.SILENCE_TIMEOUT_S < 6.0 - 1.0
     monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT_S", 0.05)
     run_watch_scenario(scenario)
@@ -149,7 +151,7 @@
             pass
         assert ended[0] is not first
 
-    # The shortest grace period of a drain in any settings so far.
+    # 0.5 s is the shortest grace period of a drain in any known settings.
     assert discovery_module.RESPONSE_TIMEOUT_S + discovery_module.MAX_RECONNECT_DELAY_S <= 0.5
     run_watch_scenario(scenario)
 
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -24,7 +24,7 @@
 
 pytestmark = pytest.mark.usefixtures("fresh_log")
 INDENTED = json.dumps(json.loads(list_line(42)), indent=2).encode() + b"\n"
-CUT_OFF = INDENTED[: INDENTED.index(b'"zone"')]
+CUT_OFF = INDENTED[: INDENTED.index(b'"zone"')]  # within the entry
 
 
 def test_lists_are_decoded_however_their_lines_are_split_into_chunks() -> None:
@@ -193,7 +193,7 @@
         {"reset": True, "instances": [3, {}]},
     ],
 )
-def test_malformed_list_changes_nothing_and_the_watch_is_opened_again(fields: dict[str, Any]) -> None:
+def test_malformed_list_changes_nothing_and_another_watch_is_opened(fields: dict[str, Any]) -> None:
     # If accepted, it would remove all endpoints, or make all later updates look old.
     async def scenario(watch: WatchHarness) -> None:
         text = json.dumps(json.loads(list_line(42)) | fields).encode() + b"\n"
--- a/tests/proxy/test_upstream_endpoint_lists.py
+++ b/tests/proxy/test_upstream_endpoint_lists.py
@@ -21,10 +21,10 @@
 
 
 class Sender:
-    """Sends attempts through an Upstream whose endpoints all have the address of one peer."""
+    """Sends attempts through an Upstream whose endpoints s-0, s-1 and so on have the address of one peer."""
 
     def __init__(self, peer: Peer, max_connections: int = 100) -> None:
-        self.engine, self.peer, self.count = RecordingEngine(), peer, 0
+        self.engine, self.peer, self.attempt_count = RecordingEngine(), peer, 0
         loop = asyncio.get_running_loop()
         self.upstream = Upstream(
             cast(Engine, self.engine), ATTEMPT_SETTINGS, 60_000_000, max_connections, loop
@@ -42,8 +42,10 @@
         self.upstream.update_endpoints(listed, is_snapshot, is_first_part, is_last_part)
 
     def send(self, number: int) -> None:
-        self.count += 1
-        attempt = Attempt(self.count, 0, f"s-{number}", request_in_flight(10, 0), self.engine.clock.now_us())
+        self.attempt_count += 1
+        attempt = Attempt(
+            self.attempt_count, 0, f"s-{number}", request_in_flight(10, 0), self.engine.clock.now_us()
+        )
         self.upstream.start(attempt, 10_000_000)
 
     async def result(self) -> Result:
@@ -143,7 +145,7 @@
             entries = [{"instanceId": f"s-{n}", "lifecycle": "DELETED"} for n in range(removed_count)]
             text = json.dumps({"generation": 50, "reset": False, "instances": entries}).encode()
             await watch.peer.answer(RESPONSE_HEAD + chunk(text))
-            while watch.discovery.version != 50 or sender.count < 100:
+            while watch.discovery.version != 50 or sender.attempt_count < 100:
                 sender.send(rng.randrange(removed_count))  # some endpoints are removed while connecting
                 await asyncio.sleep(0)
             await watch.wait_for_version(50)
@@ -151,7 +153,7 @@
                 sender.send(number)
             results = [
                 await sender.result()
-                for _ in range(sender.count - sender.upstream.connection_limit.open_count)
+                for _ in range(sender.attempt_count - sender.upstream.connection_limit.open_count)
             ]
             assert results.count(Result.CONNECT_FAILED) >= removed_count // 100
             assert max(len(update.endpoints) for update in watch.updates) <= MAX_ENDPOINTS_PER_PART
