--- a/rushroad/proxy/discovery.py
+++ b/rushroad/proxy/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the discovery service: a connection that receives endpoint updates, and its reconnects."""
+"""The watch on the local discovery agent: a connection that receives endpoint updates, and its reconnects."""
 
 from __future__ import annotations
 
--- a/rushroad/proxy/upstream_response.py
+++ b/rushroad/proxy/upstream_response.py
@@ -13,8 +13,9 @@
 
 RESPONSE_ITEM_COUNT = 3  # value, usage figures, load report
 ERROR_RESULTS = {b"BUSY": Result.OVERLOADED, b"ERR failed": Result.ERROR}
+# Usage figures have the form used=37,cost=4, where cost is the actual units.
 USAGE_PREFIXES = (b"used=", b"cost=")  # of usage figures in error lines
-ACTUAL_UNITS = re.compile(rb"(?:^|,)cost=(\d{1,9}(?:\.\d{1,9})?)(?:,|$)")  # in usage figures
+ACTUAL_UNITS = re.compile(rb"(?:^|,)cost=(\d{1,9}(?:\.\d{1,9})?)(?:,|$)")
 
 
 class UpstreamResponse:
