--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -83,7 +83,7 @@
         self._events: deque[Event] = deque()
         self._scheduled = False  # whether a call of `_process_events` is scheduled
 
-    # --- called by the connections ------------------------------------------------------------------------
+    # --- called by the other parts of the proxy -----------------------------------------------------------
 
     def submit(self, call: Call) -> int:
         """Accept a request and return its id, or 0 if a request with the same call id is in flight."""
@@ -185,7 +185,10 @@
         try:
             actions = self._policy.handle(self.clock.now_us(), event)
         except Exception:  # noqa: BLE001 - an error in one request must not end the process
-            log(f"policy error on {type(event).__name__}; failing the request: {traceback.format_exc()}")
+            log(
+                f"policy error on {type(event).__name__}; failing its request, if any: "
+                f"{traceback.format_exc()}"
+            )
             self._fail_request_of(event)
             actions = []
         for action in actions:
@@ -202,11 +205,14 @@
     # --- actions ------------------------------------------------------------------------------------------
 
     def _execute(self, action: Action) -> None:
-        """Execute an action; on an error, fail the request that it belongs to."""
+        """Execute an action; on an error, fail the request that it belongs to, if any."""
         try:
             self._dispatch(action)
         except Exception:  # noqa: BLE001 - an error in one request must not end the process
-            log(f"error executing {type(action).__name__}; failing the request: {traceback.format_exc()}")
+            log(
+                f"error executing {type(action).__name__}; failing its request, if any: "
+                f"{traceback.format_exc()}"
+            )
             if isinstance(action, StartAttempt | Reject | Fail | CancelAttempt):
                 self._fail(action.request_id)
 
@@ -233,7 +239,7 @@
         request = self._requests[action.request_id]
         number = request.attempts_started
         request.attempts_started += 1
-        # The event loop reports a disconnect at least one iteration late, and not while reading is paused.
+        # The event loop reports a disconnect at least one iteration late, and never while reading is paused.
         if request.finished or request.call.poll_disconnect() or number >= self._settings.limits.max_attempts:
             ids = (action.request_id, number, action.endpoint)
             self.post(AttemptFinished(*ids, Result.NOT_FORWARDED, 0, request.finished))
@@ -293,7 +299,7 @@
             self._call_ids.discard(request.call.id)
 
     def _deadline_passed(self, request_id: int) -> None:
-        # A queued event may still lead to an answer; queued events are processed before this callback.
+        # A queued event may still lead to an answer, so the queue is processed first.
         self._loop.call_soon(self._fail_unanswered, request_id)
 
     def _fail_unanswered(self, request_id: int) -> None:
--- a/rushroad/proxy/in_flight.py
+++ b/rushroad/proxy/in_flight.py
@@ -10,16 +10,16 @@
 class Call(Protocol):
     """A client's request, as seen by the engine and the attempts."""
 
-    id: bytes
-    arrived_at_s: float  # earliest arrival time of its last byte, on the monotonic clock
+    id: bytes  # given by the client; not the engine's request id
+    arrived_at_s: float  # earliest time at which its last byte may have arrived, on the monotonic clock
     class_index: int
     plan_index: int
     tenant: int
     units: float
-    time_remaining_ms: int  # from the sending of the call until the client gives up
-    entry_point_count: int
-    first_entry_point: int
-    is_retry: bool
+    time_remaining_ms: int  # when the client sent the call, until it gives up
+    entry_point_count: int  # number of gateways that receive requests of this tenant
+    first_entry_point: int  # index of the first of them; the others follow in order
+    is_retry: bool  # marked as a retry by the client
 
     def poll_disconnect(self) -> bool:
         """Return whether the client has disconnected.
