--- a/rushroad/proxy/arrival_times.py
+++ b/rushroad/proxy/arrival_times.py
@@ -37,19 +37,19 @@
         if not readable:
             self._backlog_since = None
 
-    def record(self, size: int, received_since: float) -> None:
+    def record(self, size: int, earliest_arrival: float) -> None:
         """Record a read of `size` bytes.
 
-        Unless reading was paused, `received_since` is the earliest time at which they can have arrived.
+        Unless reading was paused, `earliest_arrival` is the earliest time at which they may have arrived.
         """
-        arrived_at = received_since
+        arrived_at = earliest_arrival
         if self._backlog_since is not None:
-            if received_since > self._backlog_until:
+            if earliest_arrival > self._backlog_until:
                 self._backlog_since = None
             else:
                 arrived_at = self._backlog_since
                 if size >= LARGE_READ_BYTES or self._backlog_until == math.inf:
-                    self._backlog_until = received_since + CATCH_UP_TIME_S
+                    self._backlog_until = earliest_arrival + CATCH_UP_TIME_S
         self._received += size
         if self._entries and arrived_at - self._entries[-1][1] < MERGE_INTERVAL_S:
             arrived_at = min(arrived_at, self._entries.pop()[1])
--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -64,7 +64,7 @@
             if self._lingering_read_bytes > MAX_LINGERING_READ_BYTES:
                 self.abort()
             return
-        self._arrivals.record(len(data), self._table.loop_lag.waiting_since())
+        self._arrivals.record(len(data), self._table.loop_lag.earliest_arrival())
         self._reader.feed(data)
         if not self._blocked_by:
             self._process_commands()
--- a/rushroad/proxy/client_listener.py
+++ b/rushroad/proxy/client_listener.py
@@ -32,7 +32,7 @@
         self._engine, self._loop = engine, loop
         self._listener: socket.socket
         self._setup_tasks: set[asyncio.Task[None]] = set()  # of accepted sockets
-        self._deferred_since: float | None = None  # since when accepting fails for lack of system resources
+        self._deferred_since: float | None = None  # when accepting began to fail for lack of system resources
 
     async def listen(self, host: str, port: int) -> None:
         """Start accepting connections; raises OSError if the address cannot be used.
@@ -54,7 +54,7 @@
         """Accept the connections in the backlog; if the system lacks resources, retry later."""
         for _ in range(MAX_ACCEPTS_PER_CALLBACK):
             try:
-                self._set_up(self._listener.accept()[0])
+                self._start_setup(self._listener.accept()[0])
             except BlockingIOError:
                 self._deferred_since = None
                 return
@@ -78,16 +78,20 @@
         except OSError:
             self._loop.call_later(RETRY_INTERVAL_S, self._resume_accepting)
 
-    def _set_up(self, accepted: socket.socket) -> None:
+    def _start_setup(self, accepted: socket.socket) -> None:
+        """Set up the connection of an accepted socket in a task.
+
+        If accepting was deferred or the event loop stalled, its input may have waited since then.
+        """
         waiting_since = self._deferred_since
-        lag_since = self.connections.loop_lag.waiting_since()
-        if waiting_since is None and lag_since < self._loop.time():
-            waiting_since = lag_since
-        task = self._loop.create_task(self._connect(accepted, waiting_since))
+        earliest_arrival = self.connections.loop_lag.earliest_arrival()
+        if waiting_since is None and earliest_arrival < self._loop.time():
+            waiting_since = earliest_arrival
+        task = self._loop.create_task(self._set_up(accepted, waiting_since))
         self._setup_tasks.add(task)
         task.add_done_callback(self._setup_tasks.discard)
 
-    async def _connect(self, accepted: socket.socket, waiting_since: float | None) -> None:
+    async def _set_up(self, accepted: socket.socket, waiting_since: float | None) -> None:
         """Set up the connection of an accepted socket.
 
         Nothing is read from the socket before, so no input is lost if this fails and is retried.
@@ -131,7 +135,7 @@
         failures = 0
         while failures < MAX_ACCEPT_FAILURES_AT_STOP:
             try:
-                self._set_up(self._listener.accept()[0])
+                self._start_setup(self._listener.accept()[0])
             except BlockingIOError:
                 break
             except OSError as error:
@@ -158,10 +162,10 @@
 
     def _readable_descriptors(self) -> set[int]:
         """Return the descriptors of connections with unread input, or all descriptors if polling fails."""
-        unread = select.poll()
+        poller = select.poll()
         for connection in self.connections.open:
-            unread.register(connection.descriptor, select.POLLIN)
-        ready = poll_now(unread)
+            poller.register(connection.descriptor, select.POLLIN)
+        ready = poll_now(poller)
         if ready is None:
             return {connection.descriptor for connection in self.connections.open}
         return {descriptor for descriptor, _ in ready}
--- a/rushroad/proxy/loop_lag.py
+++ b/rushroad/proxy/loop_lag.py
@@ -25,7 +25,7 @@
         self._probed_at = now
         self._loop.call_later(PROBE_INTERVAL_S, self.probe)
 
-    def waiting_since(self) -> float:
+    def earliest_arrival(self) -> float:
         """Return the earliest arrival time of input that is read now, in seconds on the loop's clock."""
         now = self._loop.time()
         if now <= self._backlog_until:
--- a/tests/proxy/test_loop_lag.py
+++ b/tests/proxy/test_loop_lag.py
@@ -46,23 +46,23 @@
 ) -> None:
     loop.run_timers_at(100.0 + PROBE_INTERVAL_S)
     loop.now += PROBE_INTERVAL_S / 2
-    assert monitor.waiting_since() == loop.now
+    assert monitor.earliest_arrival() == loop.now
 
 
 def test_input_read_before_a_late_probe_counts_from_when_the_probe_was_due(
     loop: ManualLoop, monitor: LoopLagMonitor
 ) -> None:
     loop.now = 101.0
-    assert monitor.waiting_since() == 100.0 + PROBE_INTERVAL_S
+    assert monitor.earliest_arrival() == 100.0 + PROBE_INTERVAL_S
 
 
 def test_input_read_shortly_after_a_late_probe_counts_from_the_start_of_the_stall(
     loop: ManualLoop, monitor: LoopLagMonitor
 ) -> None:
     loop.run_timers_at(101.0)
-    assert monitor.waiting_since() == 100.0 + PROBE_INTERVAL_S
+    assert monitor.earliest_arrival() == 100.0 + PROBE_INTERVAL_S
     loop.now = 101.0 + BACKLOG_TIME_S
-    assert monitor.waiting_since() == 100.0 + PROBE_INTERVAL_S
+    assert monitor.earliest_arrival() == 100.0 + PROBE_INTERVAL_S
     loop.run_timers_at(101.0 + PROBE_INTERVAL_S)
     loop.now = 101.0 + BACKLOG_TIME_S + 0.01
-    assert monitor.waiting_since() == loop.now
+    assert monitor.earliest_arrival() == loop.now
