--- a/rushroad/proxy/client_command.py
+++ b/rushroad/proxy/client_command.py
@@ -15,21 +15,21 @@
     from rushroad.proxy.client_connection import ClientConnection
 
 CALL_GET, CALL_POST, PING = b"CALL.GET", b"CALL.POST", b"PING"
-CALL_ARGUMENT_COUNTS = {CALL_GET: 4, CALL_POST: 5}  # by command name, which is counted
+CALL_ARGUMENT_COUNTS = {CALL_GET: 4, CALL_POST: 5}  # by command name; the name itself is counted
 TENANT_LIMIT = 1 << 33  # exclusive upper bound of tenant numbers
 TENANT_PATTERN = re.compile(rb"[0-9a-f]{16}")
 ID_PATTERN = re.compile(rb"[0-9A-Za-z._:-]{1,64}")
-TEXT_PATTERN = re.compile(rb"[^\0- ]{1,128}")
+TEXT_PATTERN = re.compile(rb"[^\0- ]{1,128}")  # only bytes above the space character
 INTEGER_PATTERN = re.compile(rb"\d{1,9}")
 OPTION_PATTERNS = {  # by option name on the wire; calls with any other option are invalid
-    b"c": TEXT_PATTERN,
-    b"t": TEXT_PATTERN,
-    b"k": TEXT_PATTERN,
-    b"d": INTEGER_PATTERN,
-    b"r": re.compile(rb"[01]"),
+    b"c": TEXT_PATTERN,  # request class
+    b"t": TEXT_PATTERN,  # plan
+    b"k": TEXT_PATTERN,  # only forwarded to rate servers
+    b"d": INTEGER_PATTERN,  # time remaining, in milliseconds
+    b"r": re.compile(rb"[01]"),  # 1 marks a retry
     b"units": re.compile(rb"\d{1,6}(\.\d{1,9})?"),
-    b"spread": INTEGER_PATTERN,
-    b"first": INTEGER_PATTERN,
+    b"spread": INTEGER_PATTERN,  # number of entry points, the gateways that the tenant uses
+    b"first": INTEGER_PATTERN,  # index of the first of them
 }
 
 
@@ -99,7 +99,7 @@
 
     def __init__(self, connection: ClientConnection, arrived_at_s: float) -> None:
         self.connection = connection
-        self.arrived_at_s = arrived_at_s  # earliest time at which its last byte can have arrived
+        self.arrived_at_s = arrived_at_s  # earliest time at which its last byte may have arrived
         self.answer: bytes | None = None
         self.request_id = 0  # assigned by the engine; 0 while no answer from the engine is due
         self.arguments: list[bytes] = []
@@ -130,10 +130,10 @@
         self.entry_point_count = int(options.get(b"spread", 1))
         self.first_entry_point = int(options.get(b"first", 0))
         self.is_retry = options.get(b"r") == b"1"
-        entries_exist = (
+        entry_points_exist = (
             1 <= self.entry_point_count <= schema.fleet_size and self.first_entry_point < schema.fleet_size
         )
-        if not (0 < self.units <= schema.max_units and self.time_remaining_ms > 0 and entries_exist):
+        if not (0 < self.units <= schema.max_units and self.time_remaining_ms > 0 and entry_points_exist):
             raise InvalidCommandError("number out of range")
 
     def poll_disconnect(self) -> bool:
--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -17,15 +17,17 @@
 MAX_UNANSWERED = 64  # pipelined commands of a connection; later ones wait until earlier ones are answered
 MAX_COMMANDS_PER_BATCH = 64  # processed on one connection before other connections are served
 INVALID_COMMAND_PAUSE_S = 0.05  # reading pauses, so that repeated invalid commands do not use up CPU time
-READ_AHEAD_BYTES = 8 * 1024  # unprocessed; above, reading pauses, which makes arrival times less exact
-MAX_LINGERING_READ_BYTES = 256 * 1024  # closing with unread bytes would reset the connection and lose answers
+READ_AHEAD_BYTES = 8 * 1024  # of unprocessed input; above it, reading pauses, so arrival times are less exact
+# Input after the last command is read and discarded, as closing with unread bytes would reset the connection
+# and lose answers. Above this limit, the connection is aborted.
+MAX_LINGERING_READ_BYTES = 256 * 1024
 
 
 class BlockReason:
     """Why commands of a connection are not processed; bit flags, as several reasons can hold at once."""
 
     PIPELINE_FULL = 1
-    BATCH_ENDED = 2
+    BATCH_ENDED = 2  # until other connections are served, or for a pause after an invalid command
     ANSWERS_UNREAD = 4
 
 
@@ -33,18 +35,18 @@
     """A client connection, from its set-up to its lingering close."""
 
     def __init__(self, table: ConnectionTable, descriptor: int, waiting_since: float | None = None) -> None:
-        """Create a connection; `waiting_since` is when its socket may have arrived, if accepting was late."""
+        """Create a connection; `waiting_since` is when its first input may have arrived, if accepted late."""
         self._table, self.descriptor = table, descriptor
         self._reader = resp.Reader(MAX_ARGUMENTS)
         self._arrivals = ArrivalTimes()
         if waiting_since is not None:
-            self._arrivals.reading_paused(waiting_since)  # reading starts when it is set up
+            self._arrivals.reading_paused(waiting_since)  # no input was read since then
         self._blocked_by = 0  # flags of BlockReason
         self._reading_paused = False
-        self._input_closed = False  # no further commands; it closes once all are answered
+        self._input_closed = False  # no further commands; the connection closes once all are answered
         self._received_nothing = True
         self._lingering_read_bytes = 0  # received since the input was closed
-        self.unread_since = 0.0  # since when the client has not read its answers
+        self.unread_since = 0.0  # when the client last stopped reading its answers
         self.ended_at: float | None = None  # when the end of the stream was sent
         self.unanswered: deque[ClientCommand] = deque()
         self.transport: asyncio.Transport
@@ -141,7 +143,8 @@
     def _submit(self, command: ClientCommand, arguments: list[bytes]) -> None:
         command.parse_call(arguments, self._table.schema)
         if self._table.shutting_down:
-            command.reject(0)  # otherwise a busy connection would always have unanswered commands
+            # Otherwise a busy connection would always have unanswered commands, and so would never close.
+            command.reject(0)
             return
         command.request_id = self._table.engine.submit(command)
         if not command.request_id:
@@ -259,7 +262,7 @@
             self._refuse_input("the rest of the command did not come")
 
     def poll_disconnect(self) -> bool:
-        """Return whether the client has disconnected, also before the event loop reports it.
+        """Return whether the client has disconnected, even if the event loop has not reported it yet.
 
         If so, its requests are cancelled.
         """
