--- a/rushroad/proxy/connection_table.py
+++ b/rushroad/proxy/connection_table.py
@@ -19,7 +19,7 @@
 MIN_IDLE_TIME_S = 2.0  # a connection stays open for this time after its last answer
 MAX_IDLE_FRACTION = 0.25  # of the connection limit; above it, the connections idle for longest are closed
 MAX_PENDING_FRACTION = 0.25  # of the connection limit; above it, new connections evict pending ones
-MAX_UNREAD_BYTES = 8 << 20  # total of answers that clients can leave unread after their timeout
+MAX_UNREAD_BYTES = 8 << 20  # total of the answers that clients may leave unread after their timeout
 
 
 class ConnectionTable:
@@ -34,8 +34,9 @@
         self.open: set[ClientConnection] = set()
         self.shutting_down = False  # each connection closes once it has no unanswered commands
         self._max_connections = max_connections
-        # Start times, in ascending order.
-        self._timeouts: dict[ClientConnection, float] = {}  # pending connections, whose client has to act
+        # Times at which each connection became pending or idle, in ascending order. A connection is pending
+        # while its timeout runs, within which its client has to act.
+        self._pending_since: dict[ClientConnection, float] = {}
         self._idle_since: dict[ClientConnection, float] = {}
 
     def sweep(self) -> None:
@@ -47,16 +48,18 @@
     def add(self, connection: ClientConnection) -> None:
         """Add a new connection; above the connection limit, one connection is evicted.
 
-        This is the connection idle for longest, as it is the least likely to have a request on its way. If
-        too many connections are pending, it is the oldest pending one without unanswered commands, so that
-        silent clients cannot displace active ones.
+        The connection idle for longest is evicted, as it is the least likely to have a request on its way. If
+        too many connections are pending, the oldest pending one without unanswered commands is evicted
+        instead, so that silent clients cannot displace active ones.
         """
         self.open.add(connection)
         self.start_timeout(connection)
         if len(self.open) <= self._max_connections:
             return
-        oldest_silent = next((pending for pending in self._timeouts if not pending.unanswered), connection)
-        too_many_pending = len(self._timeouts) > max(1, self._max_connections * MAX_PENDING_FRACTION)
+        oldest_silent = next(
+            (pending for pending in self._pending_since if not pending.unanswered), connection
+        )
+        too_many_pending = len(self._pending_since) > max(1, self._max_connections * MAX_PENDING_FRACTION)
         evicted = oldest_silent if too_many_pending else next(iter(self._idle_since), oldest_silent)
         self.remove(evicted)
         evicted.abort()
@@ -64,31 +67,31 @@
     def remove(self, connection: ClientConnection) -> None:
         """Remove a closed connection."""
         self.open.discard(connection)
-        self._timeouts.pop(connection, None)
+        self._pending_since.pop(connection, None)
         self._idle_since.pop(connection, None)
         self.disconnect_poller.unwatch(connection)
 
     def start_timeout(self, connection: ClientConnection) -> None:
         """Start the timeout within which the client has to act, unless it is running."""
-        self._timeouts.setdefault(connection, self.loop.time())
+        self._pending_since.setdefault(connection, self.loop.time())
 
     def restart_timeout(self, connection: ClientConnection) -> None:
-        """Start the timeout within which the client has to act, or start it anew."""
-        self._timeouts.pop(connection, None)
-        self._timeouts[connection] = self.loop.time()
+        """Start the timeout within which the client has to act; if it is running, start it anew."""
+        self._pending_since.pop(connection, None)
+        self._pending_since[connection] = self.loop.time()
 
     def stop_timeout(self, connection: ClientConnection) -> None:
         """Stop the timeout: the client has acted, or the connection is closing."""
-        self._timeouts.pop(connection, None)
+        self._pending_since.pop(connection, None)
 
     def mark_idle(self, connection: ClientConnection) -> None:
         """Mark a connection without unanswered commands as idle, unless its timeout is running."""
         self._idle_since.pop(connection, None)
-        if connection in self.open and connection not in self._timeouts:
+        if connection in self.open and connection not in self._pending_since:
             self._idle_since[connection] = self.loop.time()
 
     def mark_busy(self, connection: ClientConnection) -> None:
-        """Mark a connection as in use."""
+        """Mark a connection as not idle."""
         self._idle_since.pop(connection, None)
 
     def may_leave_unread(self, connection: ClientConnection) -> bool:
@@ -96,17 +99,17 @@
 
         This is allowed until the longest deadline, as long as all unread answers fit in MAX_UNREAD_BYTES.
         """
-        unread_bytes = sum(pending.transport.get_write_buffer_size() for pending in self._timeouts)
+        unread_bytes = sum(pending.transport.get_write_buffer_size() for pending in self._pending_since)
         unread_bytes += connection.transport.get_write_buffer_size()
         waited = self.loop.time() - connection.unread_since
         return waited < self.schema.longest_deadline_s and unread_bytes <= MAX_UNREAD_BYTES
 
     def _close_timed_out(self) -> None:
-        started_before = self.loop.time() - CLIENT_TIMEOUT_S
-        for connection, since in list(self._timeouts.items()):
-            if since > started_before:
+        pending_before = self.loop.time() - CLIENT_TIMEOUT_S
+        for connection, since in list(self._pending_since.items()):
+            if since > pending_before:
                 break
-            del self._timeouts[connection]
+            del self._pending_since[connection]
             connection.time_out()
 
     def _close_idle(self) -> None:
--- a/tests/proxy/test_connection_limit.py
+++ b/tests/proxy/test_connection_limit.py
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(("before", "left"), [(0.9, [1.0, 2.0]), (1.0, [2.0]), (2.0, [])])
-def test_connections_idle_since_a_time_or_longer_are_closed(
+def test_connections_that_became_idle_by_the_given_time_are_closed(
     limit: ConnectionLimit, before: float, left: list[float]
 ) -> None:
     limit.close_idle(before)
--- a/tests/proxy/test_connection_table.py
+++ b/tests/proxy/test_connection_table.py
@@ -125,7 +125,7 @@
     run_scenario(scenario)
 
 
-def test_oldest_of_many_idle_connections_are_closed(
+def test_connections_idle_for_longest_are_closed_if_too_many_are_idle(
     run_scenario: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Some clients send one request and keep their connection open; new clients must still be able to connect.
