--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -86,12 +86,14 @@
     listener = ClientListener(engine, schema, configuration.max_client_connections, loop)
 
     apply_update = _update_handler(engine, upstream, loop)
-    version = await retry_transient(lambda: read_cached_endpoints(proxy_settings, memory_limit, apply_update))
+    cached_version = await retry_transient(
+        lambda: read_cached_endpoints(proxy_settings, memory_limit, apply_update)
+    )
     rng = random.Random(configuration.seed)
     discovery = Discovery(
-        configuration.discovery, version, proxy_settings, apply_update, loop, rng, memory_limit
+        configuration.discovery, cached_version, proxy_settings, apply_update, loop, rng, memory_limit
     )
-    reloads = start_reloads(loop, discovery, counter)
+    reload_task = start_reloads(loop, discovery, counter)
     with suppress(TimeoutError):
         async with asyncio.timeout(FIRST_UPDATE_TIMEOUT_S):
             await discovery.list_received.wait()
@@ -99,7 +101,7 @@
     freeze_startup_objects()
 
     await terminated.wait()
-    await shut_down(listener, settings, reloads, discovery, upstream, counter)
+    await shut_down(listener, settings, reload_task, discovery, upstream, counter)
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
--- a/rushroad/proxy/configuration.py
+++ b/rushroad/proxy/configuration.py
@@ -26,8 +26,8 @@
 PATH_VARIABLE = "EDGE_CONFIG"  # environment variable with the path of the configuration file
 READ_BYTES = 64 * 1024  # per event loop iteration
 RESERVED_SOCKETS = 32  # descriptors for the counter, discovery, the event loop and the standard streams
-UPSTREAM_SHARE = 0.25  # of the other descriptors, for connections to endpoints; the rest is for clients
-RELOAD_RETRY_TIME_S = 3.0  # a gateway counts as notified of a new configuration 4 s after SIGHUP
+UPSTREAM_FRACTION = 0.25  # of the other descriptors, for connections to endpoints; the rest is for clients
+RELOAD_RETRY_TIME_S = 3.0  # 4 s after SIGHUP, the gateway is expected to use the new configuration
 RELOAD_RETRIED_ERRORS = TRANSIENT_ERRORS | {errno.ENOENT}  # the file may be missing while it is replaced
 
 
@@ -94,7 +94,7 @@
         proxy_settings = read_proxy_settings(document["settings"])
         limits = document["limits"]
         sockets = int(limits["sockets"]) - RESERVED_SOCKETS
-        max_upstream_connections = int(sockets * UPSTREAM_SHARE)
+        max_upstream_connections = int(sockets * UPSTREAM_FRACTION)
         return Configuration(
             memory_limit=int(limits["memory_mb"] * 1e6),
             max_upstream_connections=max_upstream_connections,
@@ -171,6 +171,6 @@
     """Reload the configuration on each SIGHUP, one reload at a time, until the returned task is cancelled."""
     sighup_event = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, sighup_event.set)
-    reloads = loop.create_task(_reload_on_sighup(sighup_event, discovery, counter))
+    reload_task = loop.create_task(_reload_on_sighup(sighup_event, discovery, counter))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-    return reloads
+    return reload_task
--- a/rushroad/proxy/idle_reset_rates.py
+++ b/rushroad/proxy/idle_reset_rates.py
@@ -5,7 +5,7 @@
 FIRST_BUCKET_S = 0.025  # upper bound of the first bucket of idle times; the bound doubles with each bucket
 BUCKET_COUNT = 12
 DECAY = 0.95  # factor on the weight of earlier uses with each new one; about the last twenty count
-MAX_RESET_SHARE = 0.2  # of the uses; above it, connections of this idle time are not reused
+MAX_RESET_FRACTION = 0.2  # of the uses; above it, connections of this idle time are not reused
 ASSUMED_SUCCESSES = 8.0  # added to the uses, so that a single reset does not exclude an idle time
 REQUESTS_PER_PROBE = 8  # one in this many idempotent requests probes an excluded idle time
 
@@ -34,7 +34,7 @@
     def may_reuse(self, idle_time: float, idempotent: bool) -> bool:
         """Return whether a request may be sent on a connection with this idle time, in seconds."""
         bucket = _bucket(idle_time)
-        if self._resets[bucket] <= MAX_RESET_SHARE * (self._uses[bucket] + ASSUMED_SUCCESSES):
+        if self._resets[bucket] <= MAX_RESET_FRACTION * (self._uses[bucket] + ASSUMED_SUCCESSES):
             return True
         self._probe_candidates += idempotent
         return idempotent and self._probe_candidates % REQUESTS_PER_PROBE == 0
--- a/rushroad/proxy/shutdown.py
+++ b/rushroad/proxy/shutdown.py
@@ -12,23 +12,25 @@
 from rushroad.proxy.upstream import Upstream
 
 ACCEPT_TIME_S = 0.5  # new connections are accepted for this time after SIGTERM
-MAX_REQUEST_TIME_S = 3.0  # after SIGTERM; requests with later deadlines are answered early
-LAST_ANSWERS_TIME_S = 0.5  # after that, for answering the remaining requests; SIGKILL follows after 0.7 s
+# After SIGTERM, requests may take until the longest deadline, but at most MAX_REQUEST_TIME_S. SIGKILL may
+# follow 0.7 s after that, so the remaining requests are answered within LAST_ANSWERS_TIME_S.
+MAX_REQUEST_TIME_S = 3.0
+LAST_ANSWERS_TIME_S = 0.5
 TERMINATION_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 def termination_event(loop: asyncio.AbstractEventLoop) -> asyncio.Event:
     """Return an event that is set on SIGTERM or SIGINT."""
     terminated = asyncio.Event()
-    for number in TERMINATION_SIGNALS:
-        loop.add_signal_handler(number, terminated.set)
+    for signal_number in TERMINATION_SIGNALS:
+        loop.add_signal_handler(signal_number, terminated.set)
     return terminated
 
 
 async def shut_down(
     listener: ClientListener,
     settings: Settings,
-    reloads: asyncio.Task[None],
+    reload_task: asyncio.Task[None],
     discovery: Discovery,
     upstream: Upstream,
     counter: CounterClient | None,
@@ -38,7 +40,7 @@
     await listener.stop(ACCEPT_TIME_S, min(longest_deadline_s, MAX_REQUEST_TIME_S) + LAST_ANSWERS_TIME_S)
     # Closing the event loop restores the default signal handlers, by which a signal would kill the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, *TERMINATION_SIGNALS})
-    reloads.cancel()
+    reload_task.cancel()
     discovery.close()
     upstream.close()
     if counter is not None:
