--- a/rushroad/proxy/arrival_times.py
+++ b/rushroad/proxy/arrival_times.py
@@ -17,11 +17,11 @@
     time is unknown. Times are in seconds on the event loop's clock.
     """
 
-    __slots__ = ("_backlog_since", "_backlog_until", "_entries", "_received")
+    __slots__ = ("_backlog_since", "_backlog_until", "_entries", "_received_bytes")
 
     def __init__(self) -> None:
         self._entries: deque[tuple[int, float]] = deque()  # end offset of a read, arrival time
-        self._received = 0  # total number of bytes
+        self._received_bytes = 0  # in total
         # Bytes read until `_backlog_until` may have arrived at `_backlog_since`; None if there is no backlog.
         self._backlog_since: float | None = None
         self._backlog_until = 0.0
@@ -50,10 +50,10 @@
                 arrived_at = self._backlog_since
                 if size >= LARGE_READ_BYTES or self._backlog_until == math.inf:
                     self._backlog_until = earliest_arrival + CATCH_UP_TIME_S
-        self._received += size
+        self._received_bytes += size
         if self._entries and arrived_at - self._entries[-1][1] < MERGE_INTERVAL_S:
             arrived_at = min(arrived_at, self._entries.pop()[1])
-        self._entries.append((self._received, arrived_at))
+        self._entries.append((self._received_bytes, arrived_at))
 
     def arrival_of(self, end_offset: int) -> float:
         """Return the arrival time of the byte before this offset; offsets must not decrease between calls."""
--- a/rushroad/proxy/idle_reset_rates.py
+++ b/rushroad/proxy/idle_reset_rates.py
@@ -18,7 +18,8 @@
     """Estimates how long connections can be idle before a request on them is likely to be reset.
 
     Endpoints and network devices in front of them may drop idle connections without closing them. The next
-    request then ends in a reset, after which it cannot be retried unless it is idempotent.
+    request then ends in a reset, after which it cannot be retried unless it is idempotent. Idle times are in
+    seconds.
     """
 
     def __init__(self) -> None:
@@ -32,7 +33,7 @@
         self._resets[bucket] = self._resets[bucket] * DECAY + was_reset
 
     def may_reuse(self, idle_time: float, idempotent: bool) -> bool:
-        """Return whether a request may be sent on a connection with this idle time, in seconds."""
+        """Return whether a request may be sent on a connection with this idle time."""
         bucket = _bucket(idle_time)
         if self._resets[bucket] <= MAX_RESET_FRACTION * (self._uses[bucket] + ASSUMED_SUCCESSES):
             return True
--- a/rushroad/proxy/nonblocking_log.py
+++ b/rushroad/proxy/nonblocking_log.py
@@ -26,8 +26,8 @@
         self._current_second, self._lines_in_second = 0, 0
         self._dropped = 0  # dropped lines that have not been reported yet
         self._report_scheduled = False
-        self._poll = select.poll()
-        self._poll.register(STDERR_FD, select.POLLOUT)
+        self._poller = select.poll()
+        self._poller.register(STDERR_FD, select.POLLOUT)
 
     def __call__(self, message: str) -> None:
         """Write a line, unless the limit per second is reached or writing would block."""
@@ -63,7 +63,7 @@
             # The end is kept, as the last line of a traceback names the error.
             line = start + line[len(start) + 1 - MAX_LINE_BYTES :]
         try:
-            ready = self._poll.poll(0)
+            ready = self._poller.poll(0)
             if not ready or not ready[0][1] & select.POLLOUT:
                 return False
             os.write(STDERR_FD, line + b"\n")
--- a/rushroad/proxy/transient_errors.py
+++ b/rushroad/proxy/transient_errors.py
@@ -40,16 +40,16 @@
 
 def is_readable(descriptor: int) -> bool:
     """Return whether unread data or an end of stream is available; True if polling fails."""
-    poll = select.poll()
-    poll.register(descriptor, select.POLLIN)
-    return poll_now(poll) != []
+    poller = select.poll()
+    poller.register(descriptor, select.POLLIN)
+    return poll_now(poller) != []
 
 
-def poll_now(poll: select.poll) -> list[tuple[int, int]] | None:
-    """Return the ready descriptors with their events without waiting, or None if polling fails."""
+def poll_now(poller: select.poll) -> list[tuple[int, int]] | None:
+    """Poll without waiting; return the ready descriptors with their events, or None if polling fails."""
     for _ in range(MAX_POLL_ATTEMPTS):
         try:
-            return poll.poll(0)
+            return poller.poll(0)
         except OSError:  # temporarily out of memory
             continue
     return None
--- a/tests/proxy/test_arrival_times.py
+++ b/tests/proxy/test_arrival_times.py
@@ -14,12 +14,12 @@
     arrivals.record(10, 1.0)
     arrivals.reading_paused(2.0)
     arrivals.reading_resumed(readable=True)
-    arrivals.record(10, 5.0)  # regardless of the time of the read
-    arrivals.reading_paused(5.01)  # the rest of the backlog is still unread
+    arrivals.record(10, 5.0)  # counts from 2.0, whenever it is read
+    arrivals.reading_paused(5.01)  # before the rest of the backlog has been read
     arrivals.reading_resumed(readable=True)
     arrivals.record(LARGE_READ_BYTES, 6.0)
-    arrivals.record(10, 6.0 + CATCH_UP_TIME_S)  # data from the kernel's or the peer's buffer
-    arrivals.record(10, 6.1 + CATCH_UP_TIME_S)
+    arrivals.record(10, 6.0 + CATCH_UP_TIME_S)  # may come from the kernel's or the peer's buffer
+    arrivals.record(10, 6.1 + CATCH_UP_TIME_S)  # too late to belong to the backlog
     ends = [10, 20, 20 + LARGE_READ_BYTES, 30 + LARGE_READ_BYTES, 40 + LARGE_READ_BYTES]
     assert [arrivals.arrival_of(end) for end in ends] == [1.0, 2.0, 2.0, 2.0, 6.1 + CATCH_UP_TIME_S]
 
