--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -100,14 +100,14 @@
             (time_remaining_us + DEADLINE_GRACE_US) / 1e6, self._deadline_passed, request_id
         )
         self._requests[request_id] = InFlightRequest(call, self.clock.now_us() + time_remaining_us, timer)
-        remaining_fields = (
+        other_fields = (
             call.units,
             time_remaining_us,
             call.entry_point_count,
             call.first_entry_point,
             call.is_retry,
         )
-        self.post(Request(request_id, call.class_index, call.plan_index, call.tenant, *remaining_fields))
+        self.post(Request(request_id, call.class_index, call.plan_index, call.tenant, *other_fields))
         return request_id
 
     def client_disconnected(self, request_id: int) -> None:
@@ -142,14 +142,14 @@
         attempt.finished = True
         self._attempts.pop((attempt.request_id, attempt.number), None)
         attempt.in_flight_request.attempts_in_flight -= 1
-        first_response = False
+        is_first_response = False
         if result is Result.OK and (request := self._finish(attempt.request_id)) is not None:
-            first_response = True
+            is_first_response = True
             request.call.succeed(value)
         self._release_call_id(attempt.in_flight_request)
         elapsed_us = self.clock.now_us() - attempt.started_at_us
         is_final = attempt.in_flight_request.finished
-        units = actual_units if first_response else None
+        units = actual_units if is_first_response else None
         ids = (attempt.request_id, attempt.number, attempt.endpoint)
         self.post(
             AttemptFinished(*ids, result, elapsed_us, is_final, actual_units=units, load_report=load_report)
