--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -83,7 +83,7 @@
         self._events: deque[Event] = deque()
         self._scheduled = False  # whether a call of `_process_events` is scheduled
 
-    # --- called by the connections ------------------------------------------------------------------------
+    # --- called by the other parts of the proxy -----------------------------------------------------------
 
     def submit(self, call: Call) -> int:
         """Accept a request and return its id, or 0 if a request with the same call id is in flight."""
@@ -100,14 +100,14 @@
             (time_remaining_us + DEADLINE_GRACE_US) / 1e6, self._deadline_passed, request_id
         )
         self._requests[request_id] = InFlightRequest(call, self.clock.now_us() + time_remaining_us, timer)
-        remaining_fields = (
+        other_fields = (
             call.units,
             time_remaining_us,
             call.entry_point_count,
             call.first_entry_point,
             call.is_retry,
         )
-        self.post(Request(request_id, call.class_index, call.plan_index, call.tenant, *remaining_fields))
+        self.post(Request(request_id, call.class_index, call.plan_index, call.tenant, *other_fields))
         return request_id
 
     def client_disconnected(self, request_id: int) -> None:
@@ -142,14 +142,14 @@
         attempt.finished = True
         self._attempts.pop((attempt.request_id, attempt.number), None)
         attempt.in_flight_request.attempts_in_flight -= 1
-        first_response = False
+        is_first_response = False
         if result is Result.OK and (request := self._finish(attempt.request_id)) is not None:
-            first_response = True
+            is_first_response = True
             request.call.succeed(value)
         self._release_call_id(attempt.in_flight_request)
         elapsed_us = self.clock.now_us() - attempt.started_at_us
         is_final = attempt.in_flight_request.finished
-        units = actual_units if first_response else None
+        units = actual_units if is_first_response else None
         ids = (attempt.request_id, attempt.number, attempt.endpoint)
         self.post(
             AttemptFinished(*ids, result, elapsed_us, is_final, actual_units=units, load_report=load_report)
@@ -185,7 +185,10 @@
         try:
             actions = self._policy.handle(self.clock.now_us(), event)
         except Exception:  # noqa: BLE001 - an error in one request must not end the process
-            log(f"policy error on {type(event).__name__}; failing the request: {traceback.format_exc()}")
+            log(
+                f"policy error on {type(event).__name__}; failing its request, if any: "
+                f"{traceback.format_exc()}"
+            )
             self._fail_request_of(event)
             actions = []
         for action in actions:
@@ -202,11 +205,14 @@
     # --- actions ------------------------------------------------------------------------------------------
 
     def _execute(self, action: Action) -> None:
-        """Execute an action; on an error, fail the request that it belongs to."""
+        """Execute an action; on an error, fail the request that it belongs to, if any."""
         try:
             self._dispatch(action)
         except Exception:  # noqa: BLE001 - an error in one request must not end the process
-            log(f"error executing {type(action).__name__}; failing the request: {traceback.format_exc()}")
+            log(
+                f"error executing {type(action).__name__}; failing its request, if any: "
+                f"{traceback.format_exc()}"
+            )
             if isinstance(action, StartAttempt | Reject | Fail | CancelAttempt):
                 self._fail(action.request_id)
 
@@ -233,7 +239,7 @@
         request = self._requests[action.request_id]
         number = request.attempts_started
         request.attempts_started += 1
-        # The event loop reports a disconnect at least one iteration late, and not while reading is paused.
+        # The event loop reports a disconnect at least one iteration late, and never while reading is paused.
         if request.finished or request.call.poll_disconnect() or number >= self._settings.limits.max_attempts:
             ids = (action.request_id, number, action.endpoint)
             self.post(AttemptFinished(*ids, Result.NOT_FORWARDED, 0, request.finished))
@@ -293,7 +299,7 @@
             self._call_ids.discard(request.call.id)
 
     def _deadline_passed(self, request_id: int) -> None:
-        # A queued event may still lead to an answer; queued events are processed before this callback.
+        # A queued event may still lead to an answer, so the queue is processed first.
         self._loop.call_soon(self._fail_unanswered, request_id)
 
     def _fail_unanswered(self, request_id: int) -> None:
