--- a/rushroad/simulator/action_records.py
+++ b/rushroad/simulator/action_records.py
@@ -121,6 +121,7 @@
 
 
 def _pack_with_text(pack: Callable[..., bytes], instance: int, text: str) -> bytes:
+    """Pack a record that ends with a text, cut to the longest that its 16-bit length field can state."""
     data = text.encode()[:U16_MAX]
     return pack(instance, len(data)) + data
 
--- a/rushroad/simulator/adapter.py
+++ b/rushroad/simulator/adapter.py
@@ -80,7 +80,7 @@
         if record.kind is UpdateKind.FAILED:
             return EndpointUpdate(record.kind, record.version, ())
         if record.list_number not in self._endpoint_lists:
-            raise ProtocolError(f"unknown roster {record.list_number}")
+            raise ProtocolError(f"unknown endpoint list {record.list_number}")
         return EndpointUpdate(record.kind, record.version, self._endpoint_lists[record.list_number])
 
 
@@ -114,7 +114,9 @@
 
 def _reply_to_batch(adapter: Adapter, header_data: bytes, input_stream: BinaryIO) -> bytes:
     if len(header_data) < BATCH_HEADER_LAYOUT.size:
-        raise ProtocolError("input ends inside a header")
+        raise ProtocolError(
+            f"input ends inside a batch header: got {len(header_data)} of {BATCH_HEADER_LAYOUT.size} bytes"
+        )
     header = BatchHeader._make(BATCH_HEADER_LAYOUT.unpack(header_data))
     body = _read_up_to(input_stream, header.length)
     if len(body) < header.length:
--- a/rushroad/simulator/event_records.py
+++ b/rushroad/simulator/event_records.py
@@ -251,6 +251,7 @@
 
 
 _LOAD_REPORT_LENGTH_LAYOUT = struct.Struct("<B")
+# Compiled in advance for load reports of up to 4 values.
 _LOAD_REPORT_LAYOUTS = tuple(struct.Struct(f"<{count}f") for count in range(5))
 
 
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -12,10 +12,10 @@
 from rushroad.simulator import adapter
 from tests.support.settings_document import SETTINGS_DOCUMENT
 
-NOW = 8_412_250
+NOW = 8_412_250  # simulator time in microseconds
 ADDRESS = bytes([10, 18, 74, 7]) + struct.pack("<H", 5003)
 INSTANCE = 3
-REPLY_HEADER = struct.calcsize("<II")
+REPLY_HEADER_BYTES = struct.calcsize("<II")
 
 
 def frame(*records: bytes) -> bytes:
@@ -54,12 +54,12 @@
 def test_request_is_counted_and_forwarded_after_the_counter_reply() -> None:
     batches = [frame(boot(), roster(), discovery()), frame(submit())]
     replies = run_adapter(*batches)
-    count, length = struct.unpack_from("<II", replies, REPLY_HEADER)
+    count, length = struct.unpack_from("<II", replies, REPLY_HEADER_BYTES)
     assert count == 1
-    code, instance, name, amount, _ = struct.unpack_from("<HIQfI", replies, 2 * REPLY_HEADER)
+    code, instance, counter_name, amount, _ = struct.unpack_from("<HIQfI", replies, 2 * REPLY_HEADER_BYTES)
     assert (code, instance, amount) == (4, INSTANCE, 1.0)
     assert length == 22
-    counter_reply = struct.pack("<HIHIfQ", 10, INSTANCE, 200, 900, 1.0, name)
+    counter_reply = struct.pack("<HIHIfQ", 10, INSTANCE, 200, 900, 1.0, counter_name)
     reply = run_adapter(*batches, frame(counter_reply))[len(replies) :]
     code, instance, request, address, _ = struct.unpack_from("<HII6sI", reply, len(reply) - 20)
     assert (code, instance, request, address) == (10, INSTANCE, 7, ADDRESS)
@@ -68,7 +68,7 @@
 def test_teardown_and_boot_in_one_batch_restart_the_instance() -> None:
     teardown = struct.pack("<HI", 9, INSTANCE)
     batches = [frame(boot(), roster(), discovery()), frame(teardown, boot(), discovery())]
-    assert run_adapter(*batches) == 2 * bytes(REPLY_HEADER)
+    assert run_adapter(*batches) == 2 * bytes(REPLY_HEADER_BYTES)
 
 
 def test_exception_in_the_policy_is_reported_as_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -77,7 +77,7 @@
 
     monkeypatch.setattr("rushroad.policy.gateway.Gateway.handle", raise_error)
     reply = run_adapter(frame(boot(), roster(), discovery()))
-    assert struct.unpack_from("<HI", reply, REPLY_HEADER) == (8, INSTANCE)
+    assert struct.unpack_from("<HI", reply, REPLY_HEADER_BYTES) == (8, INSTANCE)
     assert reply.endswith(b"ValueError: policy failed")
 
 
@@ -90,7 +90,7 @@
     monkeypatch.setattr("rushroad.policy.gateway.Gateway.handle", handle)
     reply = run_adapter(frame(boot(), roster(), discovery()))
     assert struct.unpack_from("<I", reply) == (2,)
-    assert struct.unpack_from("<HIH", reply, REPLY_HEADER) == (11, INSTANCE, 8)
+    assert struct.unpack_from("<HIH", reply, REPLY_HEADER_BYTES) == (11, INSTANCE, 8)
     assert b"error: " in reply
 
 
@@ -98,11 +98,11 @@
     ("data", "text"),
     [
         (frame(boot())[:-5], "before the end of the frame"),
-        (frame(boot())[:9], "inside a header"),
+        (frame(boot())[:9], "inside a batch header: got 9 of 16 bytes"),
         (struct.pack("<IIQ", 3, 1, NOW) + b"\x08\x00\x01", "ends inside a record"),
         (frame(struct.pack("<HI", 77, INSTANCE)), "unknown event code 77"),
         (frame(submit() + b"\x00"), "event code 8 at byte 0: unknown instance 3"),
-        (frame(boot(), discovery()), "unknown roster 0"),
+        (frame(boot(), discovery()), "unknown endpoint list 0"),
         (frame(boot() + b"\x00\x00"), "left after the last record"),
         (frame(boot(settings=b"{truncated")), "event code 1 at byte 0: settings are not valid JSON"),
         (frame(boot(settings=b"{}")), "limits"),
