--- a/rushroad/bench/client_connections.py
+++ b/rushroad/bench/client_connections.py
@@ -8,7 +8,7 @@
 
 from rushroad.bench.commands import Outcome
 
-MAX_CONNECTIONS = 400  # to one gateway, which accepts 744 of clients if limited to 1,024 descriptors
+MAX_CONNECTIONS = 400  # to one gateway, which accepts 744 client connections if limited to 1,024 descriptors
 
 
 class ClientRequest:
@@ -79,7 +79,7 @@
         self._connect_tasks: set[asyncio.Task[None]] = set()  # the loop keeps no strong references
 
     def send(self, request: ClientRequest) -> None:
-        """Send on an idle connection or on a new one; queue the request at the limit of connections."""
+        """Send on an idle connection or a new one; at MAX_CONNECTIONS, queue the request."""
         if self._idle:
             self._idle.pop().send(request)
         elif self._open < MAX_CONNECTIONS:
@@ -108,7 +108,10 @@
             self._idle.append(connection)
 
     def connection_lost(self, connection: _Connection, request: ClientRequest | None) -> None:
-        """Remove a closed connection. A request that may have crossed an idle close is retried once."""
+        """Remove a closed connection.
+
+        Its request is retried once if the gateway may have closed the connection as idle before it arrived.
+        """
         self._open -= 1
         if connection in self._idle:
             self._idle.remove(connection)
@@ -123,9 +126,9 @@
     def handle_reply(self, request: ClientRequest, header: bytes, value: bytes) -> None:
         """Complete a request. A value holds the id of its request, and the service time in microseconds."""
         if header[:1] == b"$":
-            request_id, _, work = value.rstrip(b"\r\n").partition(b" ")
+            request_id, _, service_time_us = value.rstrip(b"\r\n").partition(b" ")
             outcome = Outcome.SERVED if request_id == request.id else Outcome.WRONG
-            self._on_completed(request, outcome, int(work or 0))
+            self._on_completed(request, outcome, int(service_time_us or 0))
         else:
             outcome = Outcome.REJECTED if header.startswith(b"-BUSY") else Outcome.FAILED
             self._on_completed(request, outcome, 0)
--- a/rushroad/bench/commands.py
+++ b/rushroad/bench/commands.py
@@ -95,7 +95,7 @@
     """Statistics of all rate servers together."""
 
     attempts: int = 0
-    late_attempts: int = 0  # to endpoints removed more than LATE_AFTER_S before
+    late_attempts: int = 0  # more than rate_servers.LATE_AFTER_S after the endpoint's removal
     connects: int = 0
     open_connections: int = 0
     syntax_errors: int = 0
@@ -153,7 +153,7 @@
     gateways: tuple[str, ...]  # their addresses
     gateway_indices: tuple[int, ...]  # the index of each of these gateways in the fleet
     fleet_size: int
-    request_rate: float  # requests a second to all gateways together
+    request_rate: float  # requests/s to all gateways together
     requests: int
     tenants: int
     entry_points: int  # number of gateways over which a tenant's requests are spread
@@ -174,8 +174,8 @@
     """The outcomes and latencies of all requests."""
 
     outcomes: dict[Outcome, int]
-    tenants_seen: int
-    seconds: float
+    tenants_seen: int  # tenants that sent a request
+    seconds: float  # from the start of the load to the last outcome
     latency: Percentiles
     added: Percentiles  # latency less the service time of the rate servers
 
@@ -187,11 +187,14 @@
 
 
 class TakeLongestPing(Command, frozen=True, kw_only=True, tag="stall"):
-    """Asks for the longest round trip of a PING since the last such command."""
+    """Asks for the longest round trip of a PING since the last such command, and starts anew."""
 
 
 class LongestPing(Reply, kw_only=True):
-    """The longest round trip, including that of a PING in flight, and the number of PONGs received."""
+    """The longest round trip, including that of a PING in flight, and the number of PONGs received.
+
+    Both are since the last TakeLongestPing.
+    """
 
     seconds: float
     answers: int
--- a/rushroad/bench/load.py
+++ b/rushroad/bench/load.py
@@ -69,7 +69,7 @@
 
     def _send_request(self, due_at: float) -> None:
         command, gateway = self._command, self._random.randrange(len(self._pools))
-        # A tenant's entry points are consecutive gateways, of which this one has any position.
+        # A tenant's entry points are consecutive gateways; this gateway can be any of them.
         tenant = self._random.randrange(command.tenants)
         offset = tenant % command.entry_points
         first = (command.gateway_indices[gateway] - offset) % command.fleet_size
@@ -86,8 +86,8 @@
         request.timer = self._loop.call_later(timeout_s, self.complete, request, Outcome.LOST, 0)
         self._pools[gateway].send(request)
 
-    def complete(self, request: ClientRequest, outcome: Outcome, work_us: int) -> None:
-        """Record the outcome of a request, once. `work_us` is the service time of the rate server, or 0."""
+    def complete(self, request: ClientRequest, outcome: Outcome, service_time_us: int) -> None:
+        """Record the outcome of a request, once. `service_time_us` is that of the rate server, or 0."""
         if request.completed:
             return
         request.completed = True
@@ -97,7 +97,7 @@
         if outcome is Outcome.SERVED:
             latency_us = int((time.monotonic() - request.due_at) * 1e6)
             self._latency.record_value(min(MAX_LATENCY_US, max(1, latency_us)))
-            self._added.record_value(min(MAX_LATENCY_US, max(1, latency_us - work_us)))
+            self._added.record_value(min(MAX_LATENCY_US, max(1, latency_us - service_time_us)))
         if sum(self._outcomes.values()) == self._command.requests:
             self._on_done(self._result())
 
--- a/rushroad/bench/options.py
+++ b/rushroad/bench/options.py
@@ -25,12 +25,12 @@
     )
 
 
-def parse_sizes(texts: str) -> list[FleetSize]:
+def parse_sizes(text: str) -> list[FleetSize]:
     """Parse fleet sizes, "GATEWAYS/SERVERS,..."; raises click.BadParameter if one is malformed."""
     try:
-        return [parse_fleet_size(text) for text in texts.split(",")]
+        return [parse_fleet_size(size) for size in text.split(",")]
     except ValueError as error:
-        raise click.BadParameter(f"expected sizes as GATEWAYS/SERVERS,...: {error}") from None
+        raise click.BadParameter(f"expected GATEWAYS/SERVERS,..., got {text!r}: {error}") from None
 
 
 def parse_numbers(text: str) -> list[float]:
@@ -40,7 +40,7 @@
     except ValueError as error:
         raise click.BadParameter(str(error)) from None
     if not all(number > 0 for number in numbers):
-        raise click.BadParameter("expected comma-separated numbers above 0")
+        raise click.BadParameter(f"expected comma-separated numbers above 0, got {text!r}")
     return numbers
 
 
--- a/rushroad/bench/rows.py
+++ b/rushroad/bench/rows.py
@@ -34,7 +34,7 @@
     gateways: int | UnsetType = UNSET
     servers: int | UnsetType = UNSET
     source: str | UnsetType = UNSET  # of the endpoint list
-    rate: float | UnsetType = UNSET  # requests a second at each gateway
+    rate: float | UnsetType = UNSET  # requests/s at each gateway
     tenants: int | UnsetType = UNSET
 
 
--- a/tests/bench/test_worker.py
+++ b/tests/bench/test_worker.py
@@ -15,9 +15,8 @@
 
 def test_a_command_to_a_worker_that_exits_is_an_error(stand_ins: Worker) -> None:
     with pytest.raises(RuntimeError, match="exited with status 1"):
-        stand_ins.call(
-            GetStats(), StandInStats
-        )  # the process exits, as the first command must be StartStandIns
+        # The process exits, because its first command must be StartStandIns.
+        stand_ins.call(GetStats(), StandInStats)
 
 
 def test_a_reply_is_decoded_as_its_type(addresses: StandInAddresses) -> None:
