--- a/rushroad/bench/real/__init__.py
+++ b/rushroad/bench/real/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on real gateway processes before stand-ins on loopback."""
+"""Experiments on real gateway processes, with stand-ins for their peers on loopback."""
--- a/rushroad/bench/real/commands.py
+++ b/rushroad/bench/real/commands.py
@@ -22,7 +22,7 @@
 DEFAULT_RATES = "43,87,173,346"  # requests/s at a gateway, up to twice the planned peak
 DEFAULT_TENANTS = "1000,10000,100000,360000"
 DEFAULT_LIST_SIZES = "60,2000,20000,97000"
-MANY_TENANTS_REQUEST_RATE = 800.0  # requests/s to a gateway: many tenants soon, on less than half of a core
+MANY_TENANTS_REQUEST_RATE = 800.0  # requests/s to a gateway; soon reaches many tenants, at under half a core
 DEFAULT_BURST = 4_042  # endpoints removed in one message, of 97,000 at the planned fleet size
 
 gateways_option = click.option(
@@ -170,7 +170,8 @@
 def whole_list_command(servers: str, fleet: int, seed: int, out: Path | None) -> None:
     """Measure start time and peak memory by the size and source of the endpoint list.
 
-    The times are from the start of the process to the first PONG and to the first request served.
+    The source is the configuration (`known`), or discovery with compact or indented JSON. The times are from
+    the start of the process to the first PONG and to the first request served.
     """
     run = Run("whole-list", seed, {"servers": servers, "fleet": fleet})
     for count in parse_numbers(servers):
--- a/rushroad/bench/real/gateway_processes.py
+++ b/rushroad/bench/real/gateway_processes.py
@@ -22,7 +22,7 @@
 
 DEPLOY_FILE = REPOSITORY_ROOT / "deploy/balancer.toml"
 ADDRESS_PREFIX = "127.92.0."  # followed by a number from 1; nothing else listens on these addresses
-MAX_GATEWAYS = 190  # keeps a run below 200 processes, with the bench's own three or four
+MAX_GATEWAYS = 190  # keeps a run, with the bench's own three or four processes, below 200
 START_TIMEOUT_S = 120.0  # for the first PONG
 STOP_TIMEOUT_S = 6.0  # between SIGTERM and SIGKILL
 RETRY_INTERVAL_S = 0.01  # between connects to a gateway that has just been started
@@ -58,7 +58,7 @@
 
     def __init__(self, index: int, fleet_size: int, fleet_configuration: FleetConfiguration) -> None:
         host = f"{ADDRESS_PREFIX}{index + 1}"
-        with socket.create_server((host, 0)) as listener:
+        with socket.create_server((host, 0)) as listener:  # picks a free port, and closes before the start
             self.address = f"{host}:{listener.getsockname()[1]}"
         self.index = index
         configuration = self._write_configuration(fleet_size, fleet_configuration)
@@ -203,7 +203,7 @@
             gateway.wait_exited(deadline - time.monotonic())
 
     def wait_ready(self) -> list[float]:
-        """Wait until all gateways answer PING; returns the seconds from the start of each."""
+        """Wait until all gateways answer PING; returns the seconds that each took from its start."""
         return [gateway.wait_ready() for gateway in self.gateways]
 
     def cpu_seconds(self) -> float:
@@ -215,7 +215,7 @@
         return max(gateway.peak_memory() for gateway in self.gateways)
 
     def monitor(self, seconds: float) -> None:
-        """Wait, and check the processes at intervals.
+        """Wait for `seconds`, and check the processes and their memory every CHECK_INTERVAL_S.
 
         Raises RuntimeError if a gateway exits, RunLimitExceededError if the run uses too much memory.
         """
--- a/rushroad/bench/real/measurements.py
+++ b/rushroad/bench/real/measurements.py
@@ -24,7 +24,7 @@
 from rushroad.bench.worker import Worker
 
 SETTLE_S = 1.0  # between the start and the first measurement
-MAX_IDLE_S = 5.0  # duration of the measurement without requests
+MAX_IDLE_S = 5.0  # longest measurement without requests
 SERVING_TIMEOUT_S = 20.0  # from the first PONG to the first request served
 OBSERVATION_S = 2.0  # after each removal, for stalls and late attempts
 BYTES_PER_MB = 1_000_000
@@ -151,7 +151,7 @@
     """Measure the longest stall under load: without a change, as one endpoint is removed, and as a burst is.
 
     Each of the three is observed for `observation_s`; late attempts are detected only if this is longer than
-    LATE_AFTER_S.
+    rate_servers.LATE_AFTER_S.
     """
     burst = min(burst, scenario.size.rate_servers // 2)
     with run_scenario(scenario) as processes, Worker("rushroad.bench.load") as pinger:
@@ -159,7 +159,7 @@
         fleet.wait_ready()
         fleet.monitor(SETTLE_S)
         pinger.call(StartPings(gateway=fleet.gateways[0].address), Done)
-        processes.start_load(4 * observation_s)
+        processes.start_load(4 * observation_s)  # outlasts the three observations
         before = processes.stand_in_stats()
         quiet = _observe_removal(processes, pinger, 0, observation_s)
         one = _observe_removal(processes, pinger, 1, observation_s)
--- a/rushroad/bench/real/rows.py
+++ b/rushroad/bench/real/rows.py
@@ -25,7 +25,7 @@
     added_p99_ms: float | UnsetType = UNSET
     added_p999_ms: float | UnsetType = UNSET  # in older records only
     attempts: int
-    late_attempts: int  # to endpoints removed more than LATE_AFTER_S before
+    late_attempts: int  # more than rate_servers.LATE_AFTER_S after the endpoint's removal
     syntax_errors: int = msgspec.field(name="syntax")
     list_changes: int = msgspec.field(name="changes")
     connects_per_request: float = msgspec.field(name="connects_request")
--- a/rushroad/bench/real/runs.py
+++ b/rushroad/bench/real/runs.py
@@ -49,7 +49,7 @@
 
 
 def add_fits(run: Run, x: str, ys: Iterable[str]) -> None:
-    """Add a fitted line for each column of `ys` over the column `x`, if two or more rows differ in `x`.
+    """Add a line fitted to each column in `ys` by the column `x`, if two or more rows differ in `x`.
 
     Rows with lost requests are left out, as the cost of lost requests is not known.
     """
@@ -61,7 +61,7 @@
 
 
 def finish(run: Run, out: Path | None) -> None:
-    """Print the table, and the record after it or to the file; exit with status 1 if a row has failed."""
+    """Print the table, and the record unless `out` takes it; exit with status 1 if a row has failed."""
     if out is None:
         run.write_results(sys.stdout)
     else:
