--- a/rushroad/bench/simulated/background_load.py
+++ b/rushroad/bench/simulated/background_load.py
@@ -17,9 +17,9 @@
     by capacity.
     """
 
-    def __init__(self, simulation: Simulation, size: FleetSize, simulated: Collection[int]) -> None:
-        """`simulated`: the indices of the gateways that are simulated."""
-        self._simulation, self._size, self._simulated = simulation, size, simulated
+    def __init__(self, simulation: Simulation, size: FleetSize, simulated_indices: Collection[int]) -> None:
+        """`simulated_indices` are those of the gateways that are simulated, and send no background load."""
+        self._simulation, self._size, self._simulated_indices = simulation, size, simulated_indices
         self.rate_factor = 1.0  # multiplies the request rate of every rate server
 
     def start(
@@ -28,7 +28,7 @@
         gateways_of: GatewaysOfEndpoint,
         later_gateways_of: GatewaysOfEndpoint | None = None,
     ) -> None:
-        """Start sending.
+        """Start sending to the rate servers that a simulated gateway may send to, now or later.
 
         `gateways_of` returns the gateways that may send to a rate server, `later_gateways_of` those that may
         send to it after a change of the endpoint list, if these can be more.
@@ -38,10 +38,10 @@
         rate_per_speed = total_rate / sum(server.speed for server in rate_servers)
         for server in rate_servers:
             gateways = gateways_of(server.name)
-            simulated = sum(index in self._simulated for index in gateways)
-            rate = rate_per_speed * server.speed * (1 - simulated / len(gateways))
-            reachable = (later_gateways_of or gateways_of)(server.name)
-            if rate > 0 and any(index in self._simulated for index in reachable):
+            simulated_count = sum(index in self._simulated_indices for index in gateways)
+            rate = rate_per_speed * server.speed * (1 - simulated_count / len(gateways))
+            possible_gateways = (later_gateways_of or gateways_of)(server.name)
+            if rate > 0 and any(index in self._simulated_indices for index in possible_gateways):
                 self._schedule(server, rate)
 
     def _schedule(self, server: SimulatedRateServer, rate: float) -> None:
--- a/rushroad/bench/simulated/clients.py
+++ b/rushroad/bench/simulated/clients.py
@@ -40,11 +40,11 @@
             target = self._simulation.random.choice(running or [gateway])
         target.submit(self._request(gateway.index))
 
-    def _request(self, index: int) -> Request:
-        """Create a request of a random tenant whose entry points include the gateway with this index."""
+    def _request(self, gateway_index: int) -> Request:
+        """Create a request of a random tenant whose entry points include this gateway."""
         random, gateways = self._simulation.random, self._size.gateways
         entry_point_count = min(MAX_ENTRY_POINTS, gateways)
-        first_entry_point = (index - random.randrange(entry_point_count)) % gateways
+        first_entry_point = (gateway_index - random.randrange(entry_point_count)) % gateways
         tenant = first_entry_point + gateways * random.randrange(self._tenants_per_gateway)
         class_index = int(random.random() < IDEMPOTENCY_KEY_SHARE)
         units = float(random.randint(*UNITS_RANGE))
--- a/rushroad/bench/simulated/commands.py
+++ b/rushroad/bench/simulated/commands.py
@@ -17,14 +17,14 @@
 MODULE_COST_SIZES = "3/40,200/40,30/200,200/200,100/2000,400/8000,4900/97000"
 SPREAD_SIZES = "10/40,30/12,200/200,400/2000,1000/20000,4900/97000"
 FLEET_SIZES = "30/12,200/200,1000/20000,4900/97000"
-MAX_FULLY_SIMULATED_GATEWAYS = 60  # keeps a run over all sizes to minutes
+MAX_FULLY_SIMULATED_GATEWAYS = 60  # limits a run over all sizes to minutes
 
 max_gateways_option = click.option(
     "--most",
     "max_gateways",
     default=MAX_FULLY_SIMULATED_GATEWAYS,
     show_default=True,
-    help="Simulate only some gateways of larger fleets.",
+    help="Largest fleet, in gateways, of which all are simulated; of larger ones, only some.",
 )
 
 
--- a/rushroad/bench/simulated/gateway.py
+++ b/rushroad/bench/simulated/gateway.py
@@ -57,7 +57,7 @@
         self.stopped_at: int | None = None  # None while running
         self.in_flight: dict[AttemptId, Attempt] = {}
         self.pending: dict[int, int] = {}  # attempts so far, by id of unanswered request
-        self.connected: set[str] = set()
+        self.connected: set[str] = set()  # names of endpoints with a connection
         self.start()
 
     def start(self) -> None:
@@ -165,7 +165,7 @@
             self._simulation.schedule(NETWORK_DELAY, self._end_attempt, incarnation, attempt_id, result)
 
     def _end_attempt(self, incarnation: int, attempt_id: AttemptId, result: Result) -> None:
-        """End an attempt; results that follow its first are ignored."""
+        """End an attempt with its first result; later ones are ignored."""
         attempt = self.in_flight.pop(attempt_id, None) if incarnation == self.incarnation else None
         if attempt is None:
             return
--- a/rushroad/bench/simulated/module_cost.py
+++ b/rushroad/bench/simulated/module_cost.py
@@ -23,11 +23,11 @@
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, TimerFired, UpdateKind
 from rushroad.policy.gateway import Gateway
 
-WARM_UP_SHARE = 0.2  # of the requests, sent before the measurement
-MAX_EXAMINED_REQUESTS = 100  # whose examined endpoints are counted
+WARM_UP_SHARE = 0.2  # requests sent before the measurement, relative to those measured
+MAX_OBSERVED_REQUESTS = 100  # for which the examined endpoints are counted
 CHANGED_ENDPOINTS = 100  # each changed in its own message, then all in one
 CPU_LIMIT_CHECK_INTERVAL = SECOND // 10  # in virtual time
-MEGABYTE = 1_000_000  # bytes
+BYTES_PER_MB = 1_000_000
 
 
 class ModuleCostRow(Row, frozen=True, kw_only=True):
@@ -38,7 +38,7 @@
     requests: int
     cpu_us_per_request: float = msgspec.field(name="us_request")
     endpoints_examined: float = msgspec.field(name="looked_at")  # mean per request
-    cpu_us_per_change: float = msgspec.field(name="us_change")  # endpoints in one message each
+    cpu_us_per_change: float = msgspec.field(name="us_change")  # each endpoint in its own message
     cpu_us_per_batched_change: float = msgspec.field(name="us_change_in_100")  # 100 endpoints in a message
     list_ms: float  # CPU time for a full endpoint list
     list_held_mb: float
@@ -64,7 +64,8 @@
 def run_module_cost(sizes: Sequence[FleetSize], requests: int, cpu_limit_s: float, seed: int) -> Run:
     """Measure the policy of one gateway for each fleet size, without faults at the rate servers.
 
-    `cpu_limit_s` is the CPU time after which the requests of a size stop early; its row has their number.
+    `cpu_limit_s` is the CPU time after which the measurement of a size stops early; its row has the number of
+    requests until then.
     """
     names = [str(size) for size in sizes]
     run = Run("module-cost", seed, {"sizes": names, "requests": requests, "patience": cpu_limit_s})
@@ -72,7 +73,7 @@
     for size in sizes:
         fleet = Fleet(size, seed, sample=[0])
         request_cost = _measure_requests(fleet, requests, cpu_limit_s)
-        examined = _measure_endpoints_examined(size, seed, min(MAX_EXAMINED_REQUESTS, request_cost.requests))
+        examined = _measure_endpoints_examined(size, seed, min(MAX_OBSERVED_REQUESTS, request_cost.requests))
         change_cost, list_cost = _measure_changes(fleet), _measure_endpoint_list(size)
         points.append((float(size.rate_servers), request_cost.cpu_us_per_request))
         run.add_row(
@@ -115,7 +116,7 @@
 
 
 def _measure_changes(fleet: Fleet) -> _ChangeCost:
-    """Notify the gateway of restarted endpoints, first in one message each and then all in one message."""
+    """Notify the gateway of restarted endpoints, first in a message for each, then in one for all."""
     gateway, now = fleet.gateways[0], fleet.simulation.now
     endpoints = list(fleet.initial_endpoints.values())[:CHANGED_ENDPOINTS]
     start_ns = gateway.policy_cpu_ns
@@ -139,7 +140,7 @@
     retained, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     del gateway
-    return _ListCost(cpu_ns / 1e6, retained / MEGABYTE, peak / MEGABYTE)
+    return _ListCost(cpu_ns / 1e6, retained / BYTES_PER_MB, peak / BYTES_PER_MB)
 
 
 def _endpoints(size: FleetSize) -> tuple[Endpoint, ...]:
--- a/rushroad/bench/simulated/rate_server.py
+++ b/rushroad/bench/simulated/rate_server.py
@@ -13,7 +13,7 @@
 NETWORK_DELAY = 1 * MILLISECOND  # one way
 MIN_SERVICE_TIME, MAX_SERVICE_TIME = 180 * MILLISECOND, 320 * MILLISECOND  # at speed 1
 CORES = 4  # of a rate server
-CORE_SPEED_RANGES = ((0.85, 1.1), (0.51, 0.69))  # minimum and maximum, by endpoint class
+CORE_SPEED_RANGES = ((0.85, 1.1), (0.51, 0.69))  # minimum and maximum speed, by endpoint class
 SLOW_CLASS_SHARE = 0.38  # share of rate servers in the second class
 MAX_QUEUE_LENGTH = 40  # requests; about 3 s of work
 CELL_SIZE = 8  # rate servers of a zone that share a deduplication scope
@@ -59,7 +59,7 @@
         self.incarnation = 0  # requests of earlier incarnations get no response
         self.busy_cores = 0
         self.queue: deque[Attempt | None] = deque()  # None: background load
-        self.recent_arrivals: deque[int] = deque()  # during warm-up, in the overload window
+        self.recent_arrivals: deque[int] = deque()  # arrival times during warm-up, in the overload window
         self.warm_up_arrivals: list[WarmUpArrival] = []
         self.crashes = 0
 
--- a/rushroad/bench/simulated/spread.py
+++ b/rushroad/bench/simulated/spread.py
@@ -37,7 +37,7 @@
     leave_subsets: int  # that change if a rate server leaves
     max_leave_changes: int = msgspec.field(name="leave_members_max")
     same_after_restart: int  # 1 if a new process computes the same subsets, else 0
-    step_at_servers: int  # next smaller number with more gateways per endpoint, or 0
+    step_at_servers: int  # next smaller number of servers with more gateways per server, or 0
     step_changes_mean: float = msgspec.field(name="step_members_mean")  # per subset, at this step
 
 
--- a/rushroad/bench/simulated/zone_lost.py
+++ b/rushroad/bench/simulated/zone_lost.py
@@ -22,7 +22,7 @@
 SILENT_TIME = 2 * SECOND  # until the lost zone leaves the endpoint list
 OUTAGE_TIME = 14 * SECOND  # from the loss of the zone to its restart; outages last up to 14 s
 RECOVERY_TIME = 10 * SECOND  # after the warm-up of the zone
-MAX_FULLY_SIMULATED_SERVERS = 8  # of the zone, if not all gateways are simulated
+MAX_FULLY_SIMULATED_SERVERS = 8  # of the lost zone, if not all gateways are simulated
 BASELINE_S = 2  # reported before the loss of the zone
 
 
@@ -45,7 +45,7 @@
 
 
 def run_zone_lost(sizes: Sequence[FleetSize], zones: Sequence[int], max_gateways: int, seed: int) -> Run:
-    """Lose one of this many zones and restore it; reports counts of each second.
+    """For each number of zones, lose one zone and restore it; reports counts of each second.
 
     In fleets with more than `max_gateways` gateways, those that share some of the zone's rate servers are
     simulated; the column `whole_cold` has the number of these rate servers. The other gateways' requests to
@@ -56,8 +56,8 @@
     parameters = {"sizes": [str(size) for size in sizes], "zones": list(zones), "most": max_gateways}
     run = Run("zone-lost", seed, parameters)
     for size in sizes:
-        for number in zones:
-            scenario = _scenario(size, number, max_gateways, seed)
+        for zone_count in zones:
+            scenario = _scenario(size, zone_count, max_gateways, seed)
             _simulate_outage(scenario)
             for row in _rows(scenario):
                 run.add_row(row)
@@ -69,7 +69,7 @@
     fleet: Fleet
     zones: int
     lost: list[SimulatedRateServer]  # rate servers of the lost zone
-    fully_simulated_servers: int
+    fully_simulated_servers: int  # of the lost zone, all of whose gateways are simulated
 
 
 def _scenario(size: FleetSize, zones: int, max_gateways: int, seed: int) -> _Scenario:
--- a/tests/bench/simulated/test_fleet.py
+++ b/tests/bench/simulated/test_fleet.py
@@ -18,7 +18,7 @@
     fleet.run(10 * SECOND)
     counts = fleet.simulation.counts(0, 10)
     assert counts[Metric.REQUESTS] > 500
-    assert counts[Metric.SERVED] > 0.98 * (counts[Metric.REQUESTS] - 40)
+    assert counts[Metric.SERVED] > 0.98 * (counts[Metric.REQUESTS] - 40)  # some are pending at the end
     assert counts[Metric.FAILED] == counts[Metric.CRASHES] == counts[Metric.UNAVAILABLE] == 0
 
 
--- a/tests/bench/simulated/test_rate_server.py
+++ b/tests/bench/simulated/test_rate_server.py
@@ -66,7 +66,7 @@
 ) -> None:
     served: list[int] = []
     results = [rate_server.receive_attempt(each) for each in numbered_attempts(60, served)]
-    assert results.count(None) == 44
+    assert results.count(None) == 44  # 4 on the cores and 40 in the queue
     assert results[44:] == [Result.OVERLOADED] * 16
     idle_fleet.run(1 * SECOND)
     assert {0, 1, 2, 3} <= set(served)
