--- a/rushroad/bench/stand_ins/discovery.py
+++ b/rushroad/bench/stand_ins/discovery.py
@@ -13,7 +13,7 @@
 from rushroad.bench.stand_ins.discovery_entries import Entry, encode_message, endpoint_entry
 from rushroad.bench.stand_ins.discovery_watch import Watch
 
-HEARTBEAT_S = 2.0  # between the empty lines that are sent while nothing changes
+HEARTBEAT_INTERVAL_S = 2.0  # between the empty lines that are sent on every watch
 MAX_HISTORY = 10_000  # changes kept for resuming watches; a watch from an older generation gets a snapshot
 BACKLOG = 4_096  # connections waiting to be accepted
 
@@ -51,9 +51,9 @@
         self._pending_watches: list[Watch] = []  # opened while silent, and not answered yet
         self._entries = {index: endpoint_entry(index, address(index)) for index in range(rate_servers)}
         self._next_index = rate_servers  # index of the next rate server to be added
-        self._draining: deque[int] = deque()
+        self._draining: deque[int] = deque()  # indices of rate servers, to be removed by the churn
         self._history: deque[Change] = deque(maxlen=MAX_HISTORY)
-        self._removed_while_silent: list[int] = []
+        self._removed_while_silent: list[int] = []  # indices, not reported to on_removed yet
         self._snapshot = Change(0, b"")  # cached; encoded anew when requested at another generation
         self._churn_timer: asyncio.TimerHandle | None = None
         self._listener: asyncio.Server
@@ -152,4 +152,4 @@
         if not self.silent:
             for watch in self.watches:
                 watch.send_heartbeat()
-        self._loop.call_later(HEARTBEAT_S, self._send_heartbeats)
+        self._loop.call_later(HEARTBEAT_INTERVAL_S, self._send_heartbeats)
