--- a/rushroad/bench/load.py
+++ b/rushroad/bench/load.py
@@ -51,13 +51,13 @@
         self._latency = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         self._added = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         self._loop = asyncio.get_running_loop()
-        self._last_id = self._random.getrandbits(48) << 16
+        self._last_request_id = self._random.getrandbits(48) << 16
         self._started_at = time.monotonic()
         threading.Thread(target=self._schedule_arrivals, args=(self._started_at,), daemon=True).start()
 
     def _schedule_arrivals(self, due_at: float) -> None:
         """Pass each request to the loop when it is due; runs in a thread."""
-        arrivals = random.Random(self._command.seed)
+        arrivals = random.Random(self._command.seed)  # not shared with the thread of the loop
         for _ in range(self._command.requests):
             due_at += arrivals.expovariate(self._command.request_rate)
             if (delay_s := due_at - time.monotonic()) > 0:
@@ -74,8 +74,8 @@
         offset = tenant % command.entry_points
         first = (command.gateway_indices[gateway] - offset) % command.fleet_size
         self._tenants_seen.add(tenant)
-        self._last_id += 1
-        request_id = b"%016x" % self._last_id
+        self._last_request_id += 1
+        request_id = b"%016x" % self._last_request_id
         parameters = (
             f"c={command.request_class},t={command.plan},d={command.deadline_ms},units=1,"
             f"spread={command.entry_points},first={first}"
