--- a/rushroad/bench/simulated/clients.py
+++ b/rushroad/bench/simulated/clients.py
@@ -11,7 +11,7 @@
 from rushroad.bench.simulated.simulation import MILLISECOND, SECOND, Metric, Simulation
 from rushroad.policy.events import Request
 
-GATEWAY_FAILURE_DETECTION = 2_500 * MILLISECOND  # until clients stop sending to a stopped gateway
+GATEWAY_FAILURE_DETECTION_TIME = 2_500 * MILLISECOND  # until clients stop sending to a stopped gateway
 MAX_ENTRY_POINTS = 3  # gateways per tenant
 IDEMPOTENCY_KEY_SHARE = 0.27  # of the requests
 
@@ -35,7 +35,7 @@
         self._simulation.count(Metric.REQUESTS)
         target = gateway
         stopped_at = gateway.stopped_at
-        if stopped_at is not None and self._simulation.now - stopped_at > GATEWAY_FAILURE_DETECTION:
+        if stopped_at is not None and self._simulation.now - stopped_at > GATEWAY_FAILURE_DETECTION_TIME:
             running = [other for other in self._gateways if other.stopped_at is None]
             target = self._simulation.random.choice(running or [gateway])
         target.submit(self._request(gateway.index))
--- a/tests/simulator/test_event_records.py
+++ b/tests/simulator/test_event_records.py
@@ -86,7 +86,7 @@
     assert reader.position == len(data)
 
 
-def test_completed_record_of_the_protocol_page_is_decoded() -> None:
+def test_example_of_a_completed_record_in_the_protocol_is_decoded() -> None:
     data = bytes.fromhex("0c0003000000c4913a5d00000a124a078b13c80044480000015600030002000040400000e040")
     record = read_record(FrameReader(data))
     assert isinstance(record, InstanceEvent)
