--- a/rushroad/bench/load.py
+++ b/rushroad/bench/load.py
@@ -51,13 +51,13 @@
         self._latency = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         self._added = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         self._loop = asyncio.get_running_loop()
-        self._last_id = self._random.getrandbits(48) << 16
+        self._last_request_id = self._random.getrandbits(48) << 16
         self._started_at = time.monotonic()
         threading.Thread(target=self._schedule_arrivals, args=(self._started_at,), daemon=True).start()
 
     def _schedule_arrivals(self, due_at: float) -> None:
         """Pass each request to the loop when it is due; runs in a thread."""
-        arrivals = random.Random(self._command.seed)
+        arrivals = random.Random(self._command.seed)  # not shared with the thread of the loop
         for _ in range(self._command.requests):
             due_at += arrivals.expovariate(self._command.request_rate)
             if (delay_s := due_at - time.monotonic()) > 0:
@@ -69,13 +69,13 @@
 
     def _send_request(self, due_at: float) -> None:
         command, gateway = self._command, self._random.randrange(len(self._pools))
-        # A tenant's entry points are consecutive gateways, of which this one has any position.
+        # A tenant's entry points are consecutive gateways; this gateway can be any of them.
         tenant = self._random.randrange(command.tenants)
         offset = tenant % command.entry_points
         first = (command.gateway_indices[gateway] - offset) % command.fleet_size
         self._tenants_seen.add(tenant)
-        self._last_id += 1
-        request_id = b"%016x" % self._last_id
+        self._last_request_id += 1
+        request_id = b"%016x" % self._last_request_id
         parameters = (
             f"c={command.request_class},t={command.plan},d={command.deadline_ms},units=1,"
             f"spread={command.entry_points},first={first}"
@@ -86,8 +86,8 @@
         request.timer = self._loop.call_later(timeout_s, self.complete, request, Outcome.LOST, 0)
         self._pools[gateway].send(request)
 
-    def complete(self, request: ClientRequest, outcome: Outcome, work_us: int) -> None:
-        """Record the outcome of a request, once. `work_us` is the service time of the rate server, or 0."""
+    def complete(self, request: ClientRequest, outcome: Outcome, service_time_us: int) -> None:
+        """Record the outcome of a request, once. `service_time_us` is that of the rate server, or 0."""
         if request.completed:
             return
         request.completed = True
@@ -97,7 +97,7 @@
         if outcome is Outcome.SERVED:
             latency_us = int((time.monotonic() - request.due_at) * 1e6)
             self._latency.record_value(min(MAX_LATENCY_US, max(1, latency_us)))
-            self._added.record_value(min(MAX_LATENCY_US, max(1, latency_us - work_us)))
+            self._added.record_value(min(MAX_LATENCY_US, max(1, latency_us - service_time_us)))
         if sum(self._outcomes.values()) == self._command.requests:
             self._on_done(self._result())
 
--- a/rushroad/bench/simulated/clients.py
+++ b/rushroad/bench/simulated/clients.py
@@ -11,7 +11,7 @@
 from rushroad.bench.simulated.simulation import MILLISECOND, SECOND, Metric, Simulation
 from rushroad.policy.events import Request
 
-GATEWAY_FAILURE_DETECTION = 2_500 * MILLISECOND  # until clients stop sending to a stopped gateway
+GATEWAY_FAILURE_DETECTION_TIME = 2_500 * MILLISECOND  # until clients stop sending to a stopped gateway
 MAX_ENTRY_POINTS = 3  # gateways per tenant
 IDEMPOTENCY_KEY_SHARE = 0.27  # of the requests
 
@@ -35,16 +35,16 @@
         self._simulation.count(Metric.REQUESTS)
         target = gateway
         stopped_at = gateway.stopped_at
-        if stopped_at is not None and self._simulation.now - stopped_at > GATEWAY_FAILURE_DETECTION:
+        if stopped_at is not None and self._simulation.now - stopped_at > GATEWAY_FAILURE_DETECTION_TIME:
             running = [other for other in self._gateways if other.stopped_at is None]
             target = self._simulation.random.choice(running or [gateway])
         target.submit(self._request(gateway.index))
 
-    def _request(self, index: int) -> Request:
-        """Create a request of a random tenant whose entry points include the gateway with this index."""
+    def _request(self, gateway_index: int) -> Request:
+        """Create a request of a random tenant whose entry points include this gateway."""
         random, gateways = self._simulation.random, self._size.gateways
         entry_point_count = min(MAX_ENTRY_POINTS, gateways)
-        first_entry_point = (index - random.randrange(entry_point_count)) % gateways
+        first_entry_point = (gateway_index - random.randrange(entry_point_count)) % gateways
         tenant = first_entry_point + gateways * random.randrange(self._tenants_per_gateway)
         class_index = int(random.random() < IDEMPOTENCY_KEY_SHARE)
         units = float(random.randint(*UNITS_RANGE))
