--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -69,7 +69,7 @@
             if self._breaker.allow_trial(now):
                 self._call(pending.tenant, 0.0, None)
             return self.decide_by_local_share(pending)
-        if self._random.random() >= self._breaker.call_share:
+        if self._random.random() >= self._breaker.call_fraction:
             return self.decide_by_local_share(pending)
         self._call(pending.tenant, 1.0, pending.request.id)
         if self._counter.timeout > pending.max_counter_wait:
--- a/rushroad/policy/endpoint_updates.py
+++ b/rushroad/policy/endpoint_updates.py
@@ -19,7 +19,7 @@
 from rushroad.policy.timers import SUBSET_REVIEW, WATCH_RETRY, Timers
 
 WATCH_RETRIES_PER_POLL_INTERVAL = 10  # at most, of a failed call to the discovery service
-INITIAL_CALL_SHARE = 0.5  # fraction of the requests of a large fleet that call the counter at first
+INITIAL_CALL_FRACTION = 0.5  # fraction of the requests of a large fleet that call the counter at first
 
 
 class EndpointUpdates:
@@ -83,7 +83,7 @@
         if is_first and self._table.mean_replicas > SOFT_MAX_REPLICAS:
             # In a fleet of this size a gateway handles few requests per endpoint and per tenant.
             self._limiter.use_pooled_limit(now)
-            self._breaker.call_share = INITIAL_CALL_SHARE
+            self._breaker.call_fraction = INITIAL_CALL_FRACTION
             self._quota.samples_requests = True
         if self._endpoints.start_review():
             self.review_subset(now)
--- a/rushroad/policy/load_balancer.py
+++ b/rushroad/policy/load_balancer.py
@@ -125,8 +125,10 @@
         confidence = math.exp((endpoint.load.updated_at - now) / LOAD_REPORT_TIME_CONSTANT)
         other_load = endpoint.load.requests * confidence + self._mean_load * (1.0 - confidence)
         samples = endpoint.latency.samples
-        own_share = samples / (samples + CLASS_LATENCY_PRIOR_SAMPLES)
-        latency = endpoint.latency.mean * own_share + endpoint.class_stats.latency.mean * (1.0 - own_share)
+        own_fraction = samples / (samples + CLASS_LATENCY_PRIOR_SAMPLES)
+        latency = endpoint.latency.mean * own_fraction + endpoint.class_stats.latency.mean * (
+            1.0 - own_fraction
+        )
         tie_break = self._random.uniform(1.0 - TIE_BREAK_JITTER, 1.0 + TIE_BREAK_JITTER)
         random_factor = tie_break * math.pow(self._random.expovariate(1.0), (1.0 - confidence) / 2)
         error_factor = 1.0 + ERROR_RATE_WEIGHT * endpoint.outlier.error_rate
--- a/rushroad/policy/pending_request.py
+++ b/rushroad/policy/pending_request.py
@@ -65,8 +65,8 @@
         self.deadline = now + request.time_remaining
         # When the latency objective passes; earlier if the client has probably tried before.
         self.objective_at = now + min(request_class.latency_objective, request.time_remaining)
-        objective_share = int(request_class.latency_objective * COUNTER_WAIT_FRACTION)
-        self.max_counter_wait = min(objective_share, request.time_remaining // 2)
+        max_wait_by_objective = int(request_class.latency_objective * COUNTER_WAIT_FRACTION)
+        self.max_counter_wait = min(max_wait_by_objective, request.time_remaining // 2)
         self.attempt_count = 0
         self.in_flight: dict[int, InFlightAttempt] = {}  # by attempt number
         self.possible_executions: list[PossibleExecution] = []
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -20,7 +20,7 @@
 from rushroad.policy.time_units import SECOND
 from rushroad.policy.timers import CounterWaitExpired, Timers
 
-FULL_SHARE_UTILIZATION = 0.5  # of the burst, from which a tenant's requests get the full call share
+FULL_CALLS_UTILIZATION = 0.5  # of the burst, from which the full call fraction applies to a tenant
 NEAR_LIMIT_REFILLS = 2.0  # refills of the burst for which a tenant counts as near its limit
 MIN_RESERVE_FRACTION = 0.5  # of the largest request; every class leaves this free near the limit
 CALLS_PER_ADMISSION = 2.0  # counter calls for requests over the quota, per expected admission
@@ -76,11 +76,11 @@
         return self._call_or_estimate(pending, now)
 
     def _call_or_estimate(self, pending: PendingRequest, now: int) -> Admission:
-        """Call the counter for the share of requests that its load allows; decide the others by estimate."""
-        share = self._call_share(pending)
-        if self._random.random() < share:
+        """Call the counter for the call fraction of the requests; decide the others by estimate."""
+        fraction = self._call_fraction(pending)
+        if self._random.random() < fraction:
             sampled = self.samples_requests and not pending.is_likely_over_quota
-            pending.counted_units = pending.request.units / share if sampled else pending.request.units
+            pending.counted_units = pending.request.units / fraction if sampled else pending.request.units
             self._call(pending, pending.request.id, pending.counted_units, now)
             if self._counter is not None and self._counter.timeout > pending.max_counter_wait:
                 self._timers.start(pending.max_counter_wait, CounterWaitExpired(pending.request.id))
@@ -89,17 +89,17 @@
             return Admission.REJECT_OVER_QUOTA
         return self.decide_by_estimate(pending, now)
 
-    def _call_share(self, pending: PendingRequest) -> float:
-        share = self._breaker.call_share
-        if share >= 1.0:
-            return share
+    def _call_fraction(self, pending: PendingRequest) -> float:
+        fraction = self._breaker.call_fraction
+        if fraction >= 1.0:
+            return fraction
         if pending.is_likely_over_quota:
-            return share * min(1.0, CALLS_PER_ADMISSION * (1.0 - pending.rejection_probability))
+            return fraction * min(1.0, CALLS_PER_ADMISSION * (1.0 - pending.rejection_probability))
         if self.samples_requests:
-            return share
+            return fraction
         # The more of its burst a tenant has used, the more its total matters.
         utilization = (pending.tenant.usage.used + pending.request.units) / pending.plan.burst
-        return share * (utilization / FULL_SHARE_UTILIZATION) ** 2
+        return fraction * (utilization / FULL_CALLS_UTILIZATION) ** 2
 
     def _is_known_over_quota(self, pending: PendingRequest, now: int) -> bool:
         """Whether a request is over the quota for certain, without a call; one that may fit needs a total."""
--- a/rushroad/proxy/endpoint_decoder.py
+++ b/rushroad/proxy/endpoint_decoder.py
@@ -22,10 +22,10 @@
 }
 MAX_ENDPOINTS_PER_PART = 250  # processed in one event loop iteration, in about 2 ms
 DEFAULT_MEMORY_LIMIT_BYTES = 192 << 20  # of a gateway process
-# Shares of the memory limit for the text of one list, and for text that is buffered until the list's version
-# arrives. The endpoint tables built from a list take about as much memory as its text.
-LIST_TEXT_SHARE = 0.25
-BUFFERED_TEXT_SHARE = 0.17
+# Fractions of the memory limit for the text of one list, and for text that is buffered until the list's
+# version arrives. The endpoint tables built from a list take about as much memory as its text.
+LIST_TEXT_FRACTION = 0.25
+BUFFERED_TEXT_FRACTION = 0.17
 MEMORY_PER_ENDPOINT_BYTES = 1024  # of the memory limit, for each endpoint that a list may have
 VERSION_LIMIT = 1 << 63  # a larger version would make all later updates look old
 # Raised when keys and values of JSON with an unexpected structure are read.
@@ -172,8 +172,8 @@
         """
         self._splitter = JsonSplitter((*path, "instances"))
         self._settings, self._kind, self._path = settings, kind, path
-        self._max_text_bytes = int(memory_limit * LIST_TEXT_SHARE)
-        self._max_buffered_text_bytes = int(memory_limit * BUFFERED_TEXT_SHARE)
+        self._max_text_bytes = int(memory_limit * LIST_TEXT_FRACTION)
+        self._max_buffered_text_bytes = int(memory_limit * BUFFERED_TEXT_FRACTION)
         self._max_endpoints = memory_limit // MEMORY_PER_ENDPOINT_BYTES
         self.needs_data = True  # all parts that can be decoded from the text so far have been returned
         self._start_list()
--- a/tests/policy/test_counter_breaker.py
+++ b/tests/policy/test_counter_breaker.py
@@ -1,4 +1,4 @@
-"""The circuit breaker and the call share of the shared counter."""
+"""The circuit breaker and the call fraction of the shared counter."""
 
 from rushroad.policy.actions import CounterAdd
 from rushroad.policy.events import Result
@@ -33,12 +33,12 @@
     for result in (Result.TIMEOUT, Result.TIMEOUT, Result.RESET, Result.RESET, Result.OVERLOADED):
         driver.counter_reply(result=result)
     driver.finish_all()
-    driver.gateway.counter_breaker.call_share = 1.0  # every request calls the counter
+    driver.gateway.counter_breaker.call_fraction = 1.0  # every request calls the counter
     assert action_names(driver.request(units=2.0, entry_point_count=4)) == ["CounterAdd"]
     assert action_names(driver.counter_reply(result=Result.TIMEOUT)) == ["StartAttempt"]
 
 
-def test_broken_connection_does_not_lower_the_call_share() -> None:
+def test_broken_connection_does_not_lower_the_call_fraction() -> None:
     # With fewer calls, requests would be admitted uncounted, and tenants could exceed their quotas.
     driver = Driver()
     for tenant in range(8):
@@ -47,7 +47,7 @@
         driver.finish_all()
 
 
-def test_timed_out_and_rejected_calls_lower_the_call_share() -> None:
+def test_timed_out_and_rejected_calls_lower_the_call_fraction() -> None:
     for result in (Result.TIMEOUT, Result.OVERLOADED):
         driver = Driver()
         for tenant in range(40):
@@ -59,15 +59,15 @@
         assert len([a for a in driver.actions if isinstance(a, CounterAdd)]) < 36
 
 
-def test_call_share_falls_while_the_counter_is_overloaded_and_recovers() -> None:
+def test_call_fraction_falls_while_the_counter_is_overloaded_and_recovers() -> None:
     calls = 0
-    for seed in range(10):  # the share at which the overload ends depends on the seed
+    for seed in range(10):  # the fraction at which the overload ends depends on the seed
         driver = Driver(LARGE_FLEET, endpoint_count=40, seed=seed)
         overload_counter(driver)
         for tenant in range(2000, 2040):
             calls += action_names(driver.request(tenant=tenant)).count("CounterAdd")
             while driver.counter_calls:
-                reply_to_oldest_call(driver, 1.0, 45 * MS)  # in time, but not prompt: the share stays
+                reply_to_oldest_call(driver, 1.0, 45 * MS)  # in time, but not prompt: the fraction stays
             driver.finish_all()
             driver.wait(200 * MS)
     assert 40 <= calls <= 200  # of 400 requests; at least a tenth of them calls the counter
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -159,8 +159,8 @@
 def test_units_admitted_without_a_call_are_added_with_the_next_one() -> None:
     driver = Driver()
     added, admitted, max_amount = 0.0, 0, 0.0
-    for share in (0.3, 0.3, 0.3, 0.3, 0.3, 1.0):  # the counter is overloaded, then not
-        driver.gateway.counter_breaker.call_share = share
+    for fraction in (0.3, 0.3, 0.3, 0.3, 0.3, 1.0):  # the counter is overloaded, then not
+        driver.gateway.counter_breaker.call_fraction = fraction
         actions = driver.request()
         if driver.counter_calls:
             added += driver.counter_calls[0].amount
@@ -178,7 +178,7 @@
     attempts = []
     for total in (2.0, 4.0, 6.0, 8.0):
         for result in (Result.RESET, Result.OK):
-            driver.gateway.counter_breaker.call_share = 1.0  # every request calls the counter
+            driver.gateway.counter_breaker.call_fraction = 1.0  # every request calls the counter
             driver.request()
             attempts += action_names(driver.counter_reply(total, result))
             driver.finish_all()
@@ -189,7 +189,7 @@
     driver = Driver()
     driver.request(units=2.0)
     assert action_names(driver.counter_reply(result=Result.OVERLOADED)) == ["StartAttempt"]
-    driver.gateway.counter_breaker.call_share = 1.0  # every request calls the counter
+    driver.gateway.counter_breaker.call_fraction = 1.0  # every request calls the counter
     driver.request(units=1.0)
     assert driver.counter_calls[0].amount == 3.0
 
@@ -200,7 +200,7 @@
     driver.request(units=2.0)
     assert action_names(driver.counter_reply(result=Result.RESET)) == ["StartAttempt"]
     for total, amount in ((1.0, 1.0), (4.0, 3.0)):
-        driver.gateway.counter_breaker.call_share = 1.0  # every request calls the counter
+        driver.gateway.counter_breaker.call_fraction = 1.0  # every request calls the counter
         driver.request()
         assert driver.counter_calls[0].amount == amount
         driver.counter_reply(total)
@@ -219,7 +219,7 @@
             driver.finish_all()
             driver.wait(1 * SECOND)
         driver.wait(8 * SECOND)
-        driver.gateway.counter_breaker.call_share = 1e-9  # practically no calls
+        driver.gateway.counter_breaker.call_fraction = 1e-9  # practically no calls
         admitted_before = action_names(driver.actions).count("StartAttempt")
         for _ in range(12):
             driver.request(entry_point_count=2)
@@ -232,9 +232,9 @@
 
 def test_total_replaces_the_estimate_of_others_use() -> None:
     driver = Driver()
-    driver.gateway.counter_breaker.call_share = 1e-9  # practically no calls
+    driver.gateway.counter_breaker.call_fraction = 1e-9  # practically no calls
     assert action_names(driver.request(entry_point_count=4)) == ["StartAttempt"]  # estimated as 4 units used
-    driver.gateway.counter_breaker.call_share = 1.0
+    driver.gateway.counter_breaker.call_fraction = 1.0
     for units, total in ((4.0, 5.0), (2.0, 7.0)):  # others used nothing
         driver.request(units=units, entry_point_count=4)
         assert action_names(driver.counter_reply(total)) == ["StartAttempt"]
@@ -245,7 +245,7 @@
     driver = Driver()
     driver.request(class_index=NOT_IDEMPOTENT)
     driver.counter_reply(8.0)
-    driver.gateway.counter_breaker.call_share = 0.5
+    driver.gateway.counter_breaker.call_fraction = 0.5
     # Rejected without a call, as nothing has been refilled yet.
     assert action_names(driver.request(class_index=NOT_IDEMPOTENT)) == ["Reject"]
     driver.wait(2 * SECOND)  # four units
@@ -259,16 +259,16 @@
     driver.counter_reply(12.0)  # others used 8 of 8
     driver.counter_reply(8.0)  # the reply to the subtraction
     driver.wait(2 * SECOND)  # four units
-    driver.gateway.counter_breaker.call_share = 0.9  # overloaded: the request is rejected without a call
+    driver.gateway.counter_breaker.call_fraction = 0.9  # overloaded: the request is rejected without a call
     assert action_names(driver.request(units=1.0)) == ["Reject"]
-    driver.gateway.counter_breaker.call_share = 1.0
+    driver.gateway.counter_breaker.call_fraction = 1.0
     assert action_names(driver.request(units=1.0)) == ["CounterAdd"]  # the units would fit without a reserve
     assert "Reject" in action_names(driver.counter_reply(9.0))
     driver.counter_reply(8.0)
     driver.request(units=2.0, class_index=NOT_IDEMPOTENT)
     assert action_names(driver.counter_reply(10.0)) == ["StartAttempt"]
     driver.wait(SECOND // 2)  # one unit refilled, but every class keeps a reserve of two
-    driver.gateway.counter_breaker.call_share = 0.9
+    driver.gateway.counter_breaker.call_fraction = 0.9
     assert action_names(driver.request(units=2.0, class_index=NOT_IDEMPOTENT)) == ["Reject"]
 
 
@@ -293,10 +293,10 @@
     # The new total never included them: to others, units would seem to be free.
     driver = Driver()
     driver.request(units=2.0, class_index=NOT_IDEMPOTENT)
-    driver.gateway.counter_breaker.call_share = 0.5  # the units are subtracted with the next call
+    driver.gateway.counter_breaker.call_fraction = 0.5  # the units are subtracted with the next call
     driver.counter_reply(10.0)
     driver.wait(8 * SECOND)  # the length of a window
-    driver.gateway.counter_breaker.call_share = 1.0
+    driver.gateway.counter_breaker.call_fraction = 1.0
     driver.request(class_index=NOT_IDEMPOTENT)
     assert driver.counter_calls[0].amount == 1.0
 
@@ -306,9 +306,9 @@
     # No total includes what they have admitted since their last call, assumed to be as much as here.
     driver, totals = Driver(), CounterTotals()
     for _ in range(4):
-        driver.gateway.counter_breaker.call_share = 1e-9 if has_unreported else 1.0
+        driver.gateway.counter_breaker.call_fraction = 1e-9 if has_unreported else 1.0
         driver.request(entry_point_count=2, class_index=NOT_IDEMPOTENT)
-        driver.gateway.counter_breaker.call_share = 1.0
+        driver.gateway.counter_breaker.call_fraction = 1.0
         driver.request(entry_point_count=2, class_index=NOT_IDEMPOTENT)
         while driver.counter_calls:
             totals.add(structs.replace(driver.counter_calls[0], amount=2.0), driver.now)  # by others
@@ -330,7 +330,7 @@
             if units:
                 driver.request(tenant=tenant, units=units)
                 driver.counter_reply(units)
-            driver.gateway.counter_breaker.call_share = 0.5
+            driver.gateway.counter_breaker.call_fraction = 0.5
             calls_before = len(driver.counter_calls)
             driver.request(tenant=tenant)
             calls[units] += len(driver.counter_calls) - calls_before
