--- a/rushroad/bench/simulated/counter.py
+++ b/rushroad/bench/simulated/counter.py
@@ -27,8 +27,8 @@
     def add(self, call: CounterAdd) -> float:
         """Add to a total and return the new value."""
         now = self._simulation.now
-        entry = self._totals.get(call.counter_name)
+        entry = self._totals.get(call.total_name)
         if entry is None or entry.expires_at <= now:
-            entry = self._totals[call.counter_name] = _Total(0.0, now + call.lifetime)
+            entry = self._totals[call.total_name] = _Total(0.0, now + call.lifetime)
         entry.total += call.amount
         return entry.total
--- a/rushroad/bench/simulated/gateway.py
+++ b/rushroad/bench/simulated/gateway.py
@@ -130,12 +130,10 @@
         settings = self.settings.counter
         if self._counter.down and settings is not None:
             timeout = settings.timeout
-            self._handle_later(timeout, CounterReply(call.counter_name, Result.TIMEOUT, timeout, 0.0))
+            self._handle_later(timeout, CounterReply(call.total_name, Result.TIMEOUT, timeout, 0.0))
         else:
             total = self._counter.add(call)
-            self._handle_later(
-                COUNTER_DELAY, CounterReply(call.counter_name, Result.OK, COUNTER_DELAY, total)
-            )
+            self._handle_later(COUNTER_DELAY, CounterReply(call.total_name, Result.OK, COUNTER_DELAY, total))
 
     def _send_attempt(self, action: StartAttempt) -> None:
         simulation, incarnation = self._simulation, self.incarnation
--- a/rushroad/policy/actions.py
+++ b/rushroad/policy/actions.py
@@ -38,7 +38,7 @@
 class CounterAdd(msgspec.Struct, frozen=True, gc=False):
     """Add to a named total on the shared counter; the total expires `lifetime` after its first add."""
 
-    counter_name: int
+    total_name: int
     amount: float
     lifetime: int
 
--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -11,7 +11,7 @@
 
 from rushroad.policy.admission import Admission
 from rushroad.policy.counter_breaker import CounterBreaker
-from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, concurrency_counter_name
+from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, concurrency_total_name
 from rushroad.policy.counter_window import ROUNDING_MARGIN
 from rushroad.policy.events import CounterReply, Result
 from rushroad.policy.latency import LatencyTracker
@@ -115,4 +115,4 @@
 
     def _call(self, tenant: Tenant, amount: float, waiting_request: int | None) -> None:
         call = CounterCall(CountedResource.CONCURRENCY, tenant, amount, waiting_request)
-        self._calls.add(concurrency_counter_name(tenant.id), call, SLOT_LIFETIME)
+        self._calls.add(concurrency_total_name(tenant.id), call, SLOT_LIFETIME)
--- a/rushroad/policy/counter_calls.py
+++ b/rushroad/policy/counter_calls.py
@@ -25,19 +25,19 @@
     CONCURRENCY = auto()
 
 
-def units_counter_name(tenant_id: int) -> int:
+def units_total_name(tenant_id: int) -> int:
     """Return the name of the total of a tenant's units."""
     return tenant_id << TENANT_SHIFT
 
 
-def concurrency_counter_name(tenant_id: int) -> int:
+def concurrency_total_name(tenant_id: int) -> int:
     """Return the name of the total of a tenant's open requests."""
     return CONCURRENCY_BIT | tenant_id << TENANT_SHIFT
 
 
-def tenant_of_units_counter(counter_name: int) -> int | None:
+def tenant_of_units_total(total_name: int) -> int | None:
     """Return the ID of the tenant whose units a name counts; None for a total of open requests."""
-    return None if counter_name & CONCURRENCY_BIT else counter_name >> TENANT_SHIFT
+    return None if total_name & CONCURRENCY_BIT else total_name >> TENANT_SHIFT
 
 
 class CounterCall(msgspec.Struct, frozen=True, gc=False):
@@ -60,15 +60,15 @@
         """Return the number of names with calls that have no reply yet."""
         return len(self._calls)
 
-    def add(self, counter_name: int, call: CounterCall, lifetime: int) -> None:
+    def add(self, total_name: int, call: CounterCall, lifetime: int) -> None:
         """Add the call's amount to the total of a name; `lifetime` is in microseconds from the first add."""
-        self._calls.setdefault(counter_name, deque()).append(call)
-        self._outbox.add(CounterAdd(counter_name, call.amount, lifetime))
+        self._calls.setdefault(total_name, deque()).append(call)
+        self._outbox.add(CounterAdd(total_name, call.amount, lifetime))
 
-    def take_oldest(self, counter_name: int) -> CounterCall:
+    def take_oldest(self, total_name: int) -> CounterCall:
         """Remove and return the call that the next reply for a name belongs to."""
-        calls = self._calls[counter_name]
+        calls = self._calls[total_name]
         call = calls.popleft()
         if not calls:
-            del self._calls[counter_name]
+            del self._calls[total_name]
         return call
--- a/rushroad/policy/events.py
+++ b/rushroad/policy/events.py
@@ -88,7 +88,7 @@
 class CounterReply(msgspec.Struct, frozen=True, gc=False):
     """The reply to a CounterAdd."""
 
-    counter_name: int
+    total_name: int
     result: Result
     elapsed: int
     total: float  # after the add; has no meaning unless the result is OK
@@ -97,7 +97,7 @@
 class LateCounterReply(msgspec.Struct, frozen=True, gc=False):
     """The total for a CounterAdd already reported as TIMEOUT; it may never arrive."""
 
-    counter_name: int
+    total_name: int
     amount: float
     total: float
 
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -27,7 +27,7 @@
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter
 from rushroad.policy.concurrency_quota import ConcurrencyQuota
 from rushroad.policy.counter_breaker import CounterBreaker
-from rushroad.policy.counter_calls import CountedResource, CounterCalls, tenant_of_units_counter
+from rushroad.policy.counter_calls import CountedResource, CounterCalls, tenant_of_units_total
 from rushroad.policy.endpoint_table import EndpointTable
 from rushroad.policy.endpoint_updates import EndpointUpdates
 from rushroad.policy.events import (
@@ -207,7 +207,7 @@
             self._reject_or_fail(pending)
 
     def _on_counter_reply(self, reply: CounterReply) -> None:
-        call = self.counter_calls.take_oldest(reply.counter_name)
+        call = self.counter_calls.take_oldest(reply.total_name)
         request_id = call.waiting_request
         pending = self.pending_requests.get(request_id) if request_id is not None else None
         self.counter_breaker.record(reply, self._now)
@@ -219,7 +219,7 @@
             self._apply_admission(admission, pending)
 
     def _on_late_counter_reply(self, reply: LateCounterReply) -> None:
-        tenant_id = tenant_of_units_counter(reply.counter_name)
+        tenant_id = tenant_of_units_total(reply.total_name)
         tenant = self.tenants.get(tenant_id) if tenant_id is not None else None
         if tenant is not None:
             tenant.usage.apply_late_total(reply.amount, reply.total, self._now)
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -12,7 +12,7 @@
 from rushroad.policy.admission import Admission
 from rushroad.policy.concurrency_quota import within_local_share
 from rushroad.policy.counter_breaker import CounterBreaker
-from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, units_counter_name
+from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, units_total_name
 from rushroad.policy.events import CounterReply, Result
 from rushroad.policy.pending_request import PendingRequest
 from rushroad.policy.settings import Settings
@@ -157,7 +157,7 @@
         tenant.usage.restart_window_if_expired(now)
         amount = units + tenant.usage.take_unreported()
         call = CounterCall(CountedResource.UNITS, tenant, amount, waiting_request)
-        self._calls.add(units_counter_name(tenant.id), call, tenant.usage.window.lifetime(now))
+        self._calls.add(units_total_name(tenant.id), call, tenant.usage.window.lifetime(now))
 
     def on_reply(
         self, call: CounterCall, reply: CounterReply, pending: PendingRequest | None, now: int
--- a/rushroad/proxy/counter_client.py
+++ b/rushroad/proxy/counter_client.py
@@ -1,6 +1,6 @@
 """The counter service client: calls are pipelined on a few persistent connections.
 
-The counter keeps a total under each name; the calls of a name add to its total and are answered with it.
+The counter keeps a total under each name. A call adds to the total of a name; the reply is the new total.
 Times in seconds of the event loop's clock end in `_s`, those in microseconds in `_us`.
 """
 
@@ -28,7 +28,7 @@
 
 
 class InFlightCalls:
-    """The unfinished calls for one name. They share a connection, which keeps them in order."""
+    """The calls for one name that are in flight. They share a connection, which keeps them in order."""
 
     __slots__ = ("connection", "count")
 
@@ -61,31 +61,29 @@
     def _start_tasks(self) -> list[asyncio.Task[None]]:
         return [self.loop.create_task(self._maintain_connection(index)) for index in range(CONNECTION_COUNT)]
 
-    def add(self, counter_name: int, amount: float, lifetime_us: int) -> None:
+    def add(self, total_name: int, amount: float, lifetime_us: int) -> None:
         """Add to the total of a name; lifetime_us: how long the counter keeps the total.
 
         Exactly one CounterReply follows, and a LateCounterReply if the total arrives after a TIMEOUT.
         """
-        call = CounterCall(
-            counter_name, amount, encode_add(counter_name, amount, lifetime_us), self.loop.time()
-        )
-        connection = self.connection_for(counter_name)
+        call = CounterCall(total_name, amount, encode_add(total_name, amount, lifetime_us), self.loop.time())
+        connection = self.connection_for(total_name)
         if connection is None:
             self.finish(call, Result.CONNECT_FAILED)
             return
         call.timer = self.loop.call_later(self._timeout_s, self.finish, call, Result.TIMEOUT)
-        calls = self._in_flight.get(counter_name)
+        calls = self._in_flight.get(total_name)
         if calls is None:
-            self._in_flight[counter_name] = InFlightCalls(connection)
+            self._in_flight[total_name] = InFlightCalls(connection)
         else:
             calls.connection = connection
             calls.count += 1
         connection.send(call)
 
-    def connection_for(self, counter_name: int) -> CounterConnection | None:
+    def connection_for(self, total_name: int) -> CounterConnection | None:
         """Return the connection for calls of a name: its assigned one if usable, otherwise any usable one."""
-        calls = self._in_flight.get(counter_name)
-        connection = self._connections[counter_name % CONNECTION_COUNT] if calls is None else calls.connection
+        calls = self._in_flight.get(total_name)
+        connection = self._connections[total_name % CONNECTION_COUNT] if calls is None else calls.connection
         if connection is not None and connection.is_usable():
             return connection
         return next((other for other in self._connections if other is not None and other.is_usable()), None)
@@ -108,7 +106,7 @@
         is_retired: whether the call's connection has been replaced. A late total is then dropped, as it may
         come from a different counter than the one now in use.
         """
-        if call.counter_name is None:
+        if call.total_name is None:
             if line != PING_REPLY:
                 raise InvalidReplyError(f"expected {PING_REPLY!r}, got {line[:80]!r}")
             return
@@ -121,22 +119,22 @@
             self.finish(call, Result.OVERLOADED)
             return
         if call.finished and not is_retired:
-            self._on_event(LateCounterReply(call.counter_name, call.amount, total))
+            self._on_event(LateCounterReply(call.total_name, call.amount, total))
         self.finish(call, Result.OK, total)
 
     def finish(self, call: CounterCall, result: Result, total: float = 0.0) -> None:
         """Report a call's outcome; further outcomes of the same call are dropped."""
-        if call.finished or call.counter_name is None:
+        if call.finished or call.total_name is None:
             return
         call.finished = True
         if call.timer is not None:
             call.timer.cancel()
-            calls = self._in_flight[call.counter_name]
+            calls = self._in_flight[call.total_name]
             calls.count -= 1
             if not calls.count:
-                del self._in_flight[call.counter_name]
+                del self._in_flight[call.total_name]
         self._on_event(
-            CounterReply(call.counter_name, result, int((self.loop.time() - call.started_at_s) * 1e6), total)
+            CounterReply(call.total_name, result, int((self.loop.time() - call.started_at_s) * 1e6), total)
         )
 
     async def _maintain_connection(self, index: int) -> None:
--- a/rushroad/proxy/counter_connection.py
+++ b/rushroad/proxy/counter_connection.py
@@ -28,9 +28,9 @@
     """The counter sent an invalid reply, so later lines can't be matched to calls."""
 
 
-def encode_add(counter_name: int, amount: float, lifetime_us: int) -> bytes:
+def encode_add(total_name: int, amount: float, lifetime_us: int) -> bytes:
     """Encode a call that adds to a total; the lifetime is rounded up to whole milliseconds."""
-    return b"bump %x %.6f %d\r\n" % (counter_name, amount, max(1, math.ceil(lifetime_us / 1_000)))
+    return b"bump %x %.6f %d\r\n" % (total_name, amount, max(1, math.ceil(lifetime_us / 1_000)))
 
 
 def decode_total(line: bytes) -> float | None:
@@ -54,13 +54,13 @@
 class CounterCall:
     """A call to the counter. It stays queued after a time-out, as replies are matched to calls by order."""
 
-    __slots__ = ("amount", "command", "counter_name", "finished", "started_at_s", "timer")
+    __slots__ = ("amount", "command", "finished", "started_at_s", "timer", "total_name")
 
-    def __init__(self, counter_name: int | None, amount: float, command: bytes, started_at_s: float) -> None:
-        self.counter_name = counter_name  # of the total; None for a ping
+    def __init__(self, total_name: int | None, amount: float, command: bytes, started_at_s: float) -> None:
+        self.total_name = total_name  # None for a ping
         self.amount, self.command = amount, command
         self.started_at_s = started_at_s
-        self.finished = counter_name is None  # the outcome has been reported; a ping has none
+        self.finished = total_name is None  # the outcome has been reported; a ping has none
         self.timer: asyncio.TimerHandle | None = None  # ends the call as TIMEOUT; None if it was not sent
 
 
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -61,8 +61,8 @@
 class Counter(Protocol):
     """Sends additions to the shared counter."""
 
-    def add(self, counter_name: int, amount: float, lifetime_us: int) -> None:
-        """Add to a counter and post exactly one `CounterReply` event."""
+    def add(self, total_name: int, amount: float, lifetime_us: int) -> None:
+        """Add to a named total and post exactly one `CounterReply` event."""
 
 
 class Engine:
@@ -221,7 +221,7 @@
             case StartAttempt():
                 self._start_attempt(action)
             case CounterAdd():
-                self.counter.add(action.counter_name, action.amount, action.lifetime)
+                self.counter.add(action.total_name, action.amount, action.lifetime)
             case SetTimer():
                 self._loop.call_later(action.delay / 1e6, self.post, TimerFired(action.token))
             case Reject():
--- a/rushroad/simulator/action_records.py
+++ b/rushroad/simulator/action_records.py
@@ -75,7 +75,7 @@
 
 
 def _counter_add(instance: int, action: CounterAdd) -> bytes:
-    return _pack_add_to(instance, action.counter_name, action.amount, action.lifetime)
+    return _pack_add_to(instance, action.total_name, action.amount, action.lifetime)
 
 
 def _start_attempt(instance: int, action: StartAttempt) -> bytes:
--- a/rushroad/simulator/event_records.py
+++ b/rushroad/simulator/event_records.py
@@ -246,8 +246,8 @@
 
 
 def _read_counter_reply(reader: FrameReader) -> InstanceEvent:
-    instance, status, elapsed, total, counter_name = reader.read_fields(_COUNTER_REPLY_LAYOUT)
-    return InstanceEvent(instance, CounterReply(counter_name, result_from_status(status), elapsed, total))
+    instance, status, elapsed, total, total_name = reader.read_fields(_COUNTER_REPLY_LAYOUT)
+    return InstanceEvent(instance, CounterReply(total_name, result_from_status(status), elapsed, total))
 
 
 _LOAD_REPORT_LENGTH_LAYOUT = struct.Struct("<B")
--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -39,7 +39,7 @@
         case Request():
             yield CounterAdd(event.id, 1.0, 1_000)
         case CounterReply():
-            yield StartAttempt(event.counter_name, "s-1", LONG_TIMEOUT_US)
+            yield StartAttempt(event.total_name, "s-1", LONG_TIMEOUT_US)
         case AttemptFinished(is_final=False):
             yield SetTimer(0, event.request_id)
         case TimerFired():
@@ -53,14 +53,14 @@
         self._engine = engine
         self.pending: list[int] = []
 
-    def add(self, counter_name: int, _amount: float, _lifetime: int) -> None:
-        self.pending.append(counter_name)
+    def add(self, total_name: int, _amount: float, _lifetime: int) -> None:
+        self.pending.append(total_name)
 
     def reply_all(self) -> None:
         """Reply to all additions within one iteration of the event loop."""
         pending, self.pending = self.pending, []
-        for counter_name in pending:
-            self._engine.post(CounterReply(counter_name, Result.OK, 0, 1.0))
+        for total_name in pending:
+            self._engine.post(CounterReply(total_name, Result.OK, 0, 1.0))
 
 
 class GatewayHarness:
--- a/tests/policy/test_concurrency_quota.py
+++ b/tests/policy/test_concurrency_quota.py
@@ -19,7 +19,7 @@
 
 
 def counter_amounts(driver: Driver) -> list[tuple[int, float]]:
-    return [(a.counter_name, a.amount) for a in driver.actions if isinstance(a, CounterAdd)]
+    return [(a.total_name, a.amount) for a in driver.actions if isinstance(a, CounterAdd)]
 
 
 def test_open_request_holds_a_slot_on_the_counter_and_returns_it() -> None:
@@ -32,7 +32,7 @@
     assert action_names(driver.counter_reply(2.0)) == ["StartAttempt"]
     driver.finish_attempt(1)
     assert [amount for _, amount in counter_amounts(driver)] == [1.0, 1.0, -1.0]
-    assert len({counter_name for counter_name, _ in counter_amounts(driver)}) == 1
+    assert len({total_name for total_name, _ in counter_amounts(driver)}) == 1
 
 
 def test_request_without_a_free_slot_is_rejected_and_holds_none() -> None:
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -42,7 +42,7 @@
         driver = Driver()
         (call,) = driver.request()
         assert isinstance(call, CounterAdd)
-        client.add(call.counter_name, call.amount, call.lifetime)
+        client.add(call.total_name, call.amount, call.lifetime)
         writer, _ = await peer.receive()
         # The call timed out, so the request is forwarded without its total.
         assert action_names(driver.handle(await replies.get())) == ["StartAttempt"]
--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -26,7 +26,7 @@
         client.add(0xABC, -2.5, 4_000_001)
         assert await peer.answer(reply) == b"bump abc -2.500000 4001\r\n"
         received = await replies.get()
-        assert (received.counter_name, received.result, received.total) == (0xABC, result, total)
+        assert (received.total_name, received.result, received.total) == (0xABC, result, total)
 
     run_with_counter_client(scenario, LONG_TIMEOUT_US)
 
@@ -52,9 +52,9 @@
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         writer, data = await peer.receive()
         assert data == b"ping\r\n"
-        counter_name = next(n for n in range(9) if client.connection_for(n) is client.connection_for(0))
+        total_name = next(n for n in range(9) if client.connection_for(n) is client.connection_for(0))
         writer.write(b"pong\r\n")
-        client.add(counter_name, 1.0, 1_000)
+        client.add(total_name, 1.0, 1_000)
         assert replies.empty()
 
     run_with_counter_client(scenario, LONG_TIMEOUT_US)
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -50,8 +50,8 @@
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
-    def add(self, counter_name: int, amount: float, _lifetime: int) -> None:
-        self._engine.post(CounterReply(counter_name, Result.OK, 0, amount))
+    def add(self, total_name: int, amount: float, _lifetime: int) -> None:
+        self._engine.post(CounterReply(total_name, Result.OK, 0, amount))
 
 
 @dataclass
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -90,11 +90,11 @@
 
     def add(self, call: CounterAdd, now: int) -> float:
         """Return the total after this call."""
-        total, expires_at = self._totals.get(call.counter_name, (0.0, now))
+        total, expires_at = self._totals.get(call.total_name, (0.0, now))
         if expires_at <= now:
             total, expires_at = 0.0, now + call.lifetime
             self.created_count += 1
-        self._totals[call.counter_name] = (total + call.amount, expires_at)
+        self._totals[call.total_name] = (total + call.amount, expires_at)
         return total + call.amount
 
 
@@ -160,8 +160,8 @@
 
     def counter_reply(self, total: float = 0.0, result: Result = Result.OK, call: int = 0) -> list[Action]:
         """Reply to a counter call, by default the oldest."""
-        counter_name = self.counter_calls.pop(call).counter_name
-        return self.handle(CounterReply(counter_name, result, 1 * MS, total))
+        total_name = self.counter_calls.pop(call).total_name
+        return self.handle(CounterReply(total_name, result, 1 * MS, total))
 
     def admit(self, **fields: int | float) -> StartAttempt:
         """Send a request and have the counter admit it; returns its attempt."""
--- a/tests/support/policy_scenarios.py
+++ b/tests/support/policy_scenarios.py
@@ -50,7 +50,7 @@
 ) -> list[str]:
     """Reply to the oldest counter call without a reply, as having taken `elapsed` microseconds."""
     call = driver.counter_calls.pop(0)
-    return action_names(driver.handle(CounterReply(call.counter_name, result, elapsed, total)))
+    return action_names(driver.handle(CounterReply(call.total_name, result, elapsed, total)))
 
 
 def overload_counter(driver: Driver) -> None:
