--- a/rushroad/policy/__init__.py
+++ b/rushroad/policy/__init__.py
@@ -1,4 +1,4 @@
 """The policy of a gateway: turns events into actions, without I/O.
 
-All timestamps and durations are whole microseconds.
+All times, timestamps as well as durations, are whole microseconds.
 """
--- a/rushroad/policy/actions.py
+++ b/rushroad/policy/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the policy requests. All durations are whole microseconds."""
+"""The actions that the policy requests. Times are whole microseconds."""
 
 from __future__ import annotations
 
--- a/rushroad/policy/active_endpoints.py
+++ b/rushroad/policy/active_endpoints.py
@@ -1,7 +1,7 @@
 """The endpoints that this gateway may forward to: its subset of the endpoint list, and fallback endpoints.
 
 A fallback endpoint is one from outside the subset. It is added while too few endpoints of the subset are
-healthy, or for a retry that must stay in its cell. Times are in microseconds.
+healthy, or for a retry that must stay in its cell. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class ActiveEndpoint:
-    """An entry of the endpoint list, with the state that each part of the policy keeps for it."""
+    """An entry of the endpoint list, with the state that each component of the policy keeps for it."""
 
     __slots__ = (
         "class_stats",
--- a/rushroad/policy/attempt_result_recorder.py
+++ b/rushroad/policy/attempt_result_recorder.py
@@ -1,4 +1,7 @@
-"""Passes the results of attempts to the parts of the policy that use them. Times are in microseconds."""
+"""Passes the results of attempts to the components of the policy that use them.
+
+Times are whole microseconds.
+"""
 
 from __future__ import annotations
 
--- a/rushroad/policy/client_retries.py
+++ b/rushroad/policy/client_retries.py
@@ -1,4 +1,4 @@
-"""Detects client retries by their time remaining. All times are whole microseconds."""
+"""Detects client retries by their time remaining. Times are whole microseconds."""
 
 from __future__ import annotations
 
--- a/rushroad/policy/clock_skew.py
+++ b/rushroad/policy/clock_skew.py
@@ -3,7 +3,7 @@
 Uptimes of endpoints, and with them slow start, must stay correct if this machine's wall clock is stepped.
 There is no reference clock, but a start can't be reported before it has happened: the smallest observed
 difference between the arrival of a start time and the start time itself is an upper bound of the skew.
-Times are in microseconds.
+Times are whole microseconds.
 """
 
 from __future__ import annotations
--- a/rushroad/policy/concurrency_limit.py
+++ b/rushroad/policy/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive limit on attempts in flight at an endpoint. Times are in microseconds.
+"""The adaptive limit on attempts in flight at an endpoint. Times are whole microseconds.
 
 An endpoint with too many attempts works only on requests that no client waits for any more. The limit rises
 while responses are timely and falls when they are late (additive increase, multiplicative decrease).
--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -2,7 +2,7 @@
 
 Where a plan limits only these, each open request holds a slot: it adds one to the tenant's total of open
 requests on the counter, and subtracts it when it has ended. Where a plan also has a rate, each gateway keeps
-to a fixed share of the limit. Times and spans are whole microseconds.
+to a fixed share of the limit. Times are whole microseconds.
 """
 
 from __future__ import annotations
--- a/rushroad/policy/counter_breaker.py
+++ b/rushroad/policy/counter_breaker.py
@@ -1,6 +1,6 @@
 """When the shared counter is called: a circuit breaker, and the fraction of requests that call it.
 
-Times and spans are whole microseconds.
+Times are whole microseconds.
 """
 
 from __future__ import annotations
--- a/rushroad/policy/counter_window.py
+++ b/rushroad/policy/counter_window.py
@@ -5,7 +5,7 @@
 that boundary. Where clocks agree, every gateway knows when windows begin. Where a clock is wrong, the name
 is still the same, but may expire at another time than expected, which shows as a total that is too low.
 
-Times and spans are whole microseconds, amounts and totals are in units.
+Times are whole microseconds, amounts and totals are in units.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
     def _start(self, now: int) -> None:
         self._last_total = 0.0
-        self.own_total = 0.0  # this gateway's part of the last total
+        self.own_total = 0.0  # what the last total includes of this gateway's adds
         self.expires_at = self._next_boundary(now)
         self.started_at = self.expires_at - self._length
 
--- a/rushroad/policy/endpoint_updates.py
+++ b/rushroad/policy/endpoint_updates.py
@@ -1,4 +1,7 @@
-"""Applies endpoint updates to the endpoint table and to this gateway's subset. Times are in microseconds."""
+"""Applies endpoint updates to the endpoint table and to this gateway's subset.
+
+Times are whole microseconds.
+"""
 
 from __future__ import annotations
 
--- a/rushroad/policy/events.py
+++ b/rushroad/policy/events.py
@@ -1,7 +1,7 @@
 """The events that the policy handles.
 
-All timestamps and durations are whole microseconds. Timestamps are on a monotonic clock that the gateways of
-a deployment share; the policy tolerates a wrong clock (see `clock_skew` and `counter_window`).
+Times are whole microseconds. Timestamps are on the gateway's monotonic clock, which should agree with those
+of the other gateways; the policy tolerates a wrong clock (see `clock_skew` and `counter_window`).
 Identifiers of requests, endpoints and tenants are opaque.
 """
 
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -11,7 +11,7 @@
          on a retry.
 answer   Each request gets one final answer, which is a rejection only if the client may safely retry.
 
-All timestamps and durations are whole microseconds.
+Times are whole microseconds.
 """
 
 from __future__ import annotations
--- a/rushroad/policy/latency.py
+++ b/rushroad/policy/latency.py
@@ -1,17 +1,17 @@
-"""Running means of response times by request class, endpoint and endpoint class, in microseconds."""
+"""Moving averages of response times by request class, endpoint and endpoint class, in microseconds."""
 
 from __future__ import annotations
 
 from rushroad.policy.events import AttemptFinished, Result
 from rushroad.policy.settings import Settings
 
-# Weight of a new response time in a running mean. The work per request varies by as much as its mean, so that
-# about 30 responses must count.
+# Weight of a new response time in a moving average. The work per request varies by as much as its mean, so
+# that about 30 responses must count.
 RESPONSE_TIME_SMOOTHING = 0.03
 
 
 class RelativeLatency:
-    """Running mean of response times, as multiples of the typical one of the request class."""
+    """Moving average of response times, as multiples of the typical one of the request class."""
 
     __slots__ = ("mean", "samples")
 
--- a/rushroad/policy/load_balancer.py
+++ b/rushroad/policy/load_balancer.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint with the least expected wait for an attempt. Times are in microseconds."""
+"""Chooses the endpoint with the least expected wait for an attempt. Times are whole microseconds."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 ERROR_RATE_WEIGHT = 4.0  # of the error rate in the expected wait; an error may cost the whole request
 AVOID_PENALTY_FACTOR = 10.0  # multiplies the expected wait at the endpoint of the failed attempt
 LOAD_REPORT_TIME_CONSTANT = SECOND  # of the exponential decay of the confidence in a load report
-LOAD_SMOOTHING = 0.2  # weight of a new report in the running mean load
+LOAD_SMOOTHING = 0.2  # weight of a new report in the moving average of the load
 OVERLOAD_PENALTY = 4  # requests added to the load estimate of an endpoint that rejects a request
 MAX_UTILIZATION = 0.8  # higher reported values are capped: the load derived from them is unbounded near 1
 # With this many samples, an endpoint's own latency counts as much as its class's.
@@ -32,7 +32,7 @@
 
 
 class LoadBalancer:
-    """Chooses among the active endpoints that all parts of the policy allow for an attempt."""
+    """Chooses among the active endpoints that all components of the policy allow for an attempt."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._slow_start = slow_start
         self._retry_policy = retry_policy
         self._random = random
-        self._mean_load = 0.0  # running mean of reported loads
+        self._mean_load = 0.0  # moving average of reported loads
 
     def choose(
         self, pending: PendingRequest, avoid: str | None, ejected: set[str], now: int
--- a/rushroad/policy/load_estimate.py
+++ b/rushroad/policy/load_estimate.py
@@ -1,4 +1,4 @@
-"""The estimate of the load that other gateways put on an endpoint. Times are in microseconds."""
+"""The estimate of the load that other gateways put on an endpoint. Times are whole microseconds."""
 
 from __future__ import annotations
 
--- a/rushroad/policy/load_shedding.py
+++ b/rushroad/policy/load_shedding.py
@@ -1,4 +1,7 @@
-"""Rejects requests on arrival while capacity is short, lowest priority first. Times are in microseconds."""
+"""Rejects requests on arrival while capacity is short, lowest priority first.
+
+Times are whole microseconds.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
     from rushroad.policy.active_endpoints import ActiveEndpoint
     from rushroad.policy.endpoint_table import EndpointTable
 
-REQUEST_VALUE_SMOOTHING = 0.2  # weight of a new request in the running mean of request values
+REQUEST_VALUE_SMOOTHING = 0.2  # weight of a new request in the moving average of request values
 LOW_PRIORITY_RESERVE = 0.5  # of the full credit; requests of the lowest priority must leave it to others
 
 
@@ -42,7 +45,7 @@
         self._longest_objective = max(c.latency_objective for c in settings.request_classes)
         self._in_flight = 0
         self._credit, self._credited_at = float(self._longest_objective), now
-        self._mean_value = 1e-9  # running mean of the values of requests; not 0, as it is a divisor
+        self._mean_value = 1e-9  # moving average of the values of requests; not 0, as it is a divisor
 
     @property
     def is_capacity_short(self) -> bool:
--- a/rushroad/policy/outlier_detection.py
+++ b/rushroad/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Detects endpoints that fail or are silent, and ejects them for a time. Times are in microseconds."""
+"""Detects endpoints that fail or are silent, and ejects them for a time. Times are whole microseconds."""
 
 from __future__ import annotations
 
--- a/rushroad/policy/pending_request.py
+++ b/rushroad/policy/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that has no final answer yet. All timestamps and durations are whole microseconds."""
+"""A request that has no final answer yet. Times are whole microseconds."""
 
 from __future__ import annotations
 
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -2,7 +2,7 @@
 
 Each request adds its units to the tenant's total on the shared counter and is admitted by the result, so
 that gateways need not know each other. Where the counter is unavailable or overloaded, a gateway decides by
-its own estimate. Times and spans are whole microseconds.
+its own estimate. Times are whole microseconds.
 """
 
 from __future__ import annotations
--- a/rushroad/policy/retry_policy.py
+++ b/rushroad/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""Retry budget, attempt timeouts and the endpoints that a retry may use. Times are in microseconds."""
+"""Retry budget, attempt timeouts and the endpoints that a retry may use. Times are whole microseconds."""
 
 from __future__ import annotations
 
--- a/rushroad/policy/settings.py
+++ b/rushroad/policy/settings.py
@@ -1,7 +1,6 @@
 """The settings of a deployment that the policy depends on.
 
-All timestamps and durations are whole microseconds. `settings_reader` creates these types from the settings
-document.
+Times are whole microseconds. `settings_reader` creates these types from the settings document.
 """
 
 from __future__ import annotations
--- a/rushroad/policy/settings_reader.py
+++ b/rushroad/policy/settings_reader.py
@@ -1,7 +1,7 @@
 """Reads the settings document of a deployment; the only module of the policy that knows its keys.
 
 The simulator and the configuration file contain the same document, a decoded JSON object. Unknown keys are
-ignored. All durations are whole microseconds.
+ignored. Times are whole microseconds.
 """
 
 from __future__ import annotations
--- a/rushroad/policy/slow_start.py
+++ b/rushroad/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Limits the attempts at an endpoint that has just started. Times are in microseconds."""
+"""Limits the attempts at an endpoint that has just started. Times are whole microseconds."""
 
 from __future__ import annotations
 
--- a/rushroad/policy/tenant_usage.py
+++ b/rushroad/policy/tenant_usage.py
@@ -1,7 +1,7 @@
 """What this gateway knows of a tenant's use of its quota.
 
-Amounts are in units, times and spans in whole microseconds. A window is the lifetime of the tenant's total on
-the shared counter; `counter_window` says how it begins and ends.
+Amounts are in units, times in whole microseconds. A window is the lifetime of the tenant's total on the
+shared counter; `counter_window` says how it begins and ends.
 """
 
 from __future__ import annotations
--- a/rushroad/policy/tenants.py
+++ b/rushroad/policy/tenants.py
@@ -1,6 +1,6 @@
 """The tenants that this gateway knows, with the state that the policy keeps for each.
 
-Times and spans are whole microseconds.
+Times are whole microseconds.
 """
 
 from __future__ import annotations
--- a/rushroad/policy/throughput.py
+++ b/rushroad/policy/throughput.py
@@ -1,4 +1,4 @@
-"""Response rates of warm endpoints, by endpoint class. Times are in microseconds."""
+"""Response rates of warm endpoints, by endpoint class. Times are whole microseconds."""
 
 from __future__ import annotations
 
--- a/rushroad/policy/timers.py
+++ b/rushroad/policy/timers.py
@@ -1,4 +1,4 @@
-"""The timers that the policy has set, and what each is for. All durations are whole microseconds."""
+"""The timers that the policy has set, and what each is for. Times are whole microseconds."""
 
 from __future__ import annotations
 
--- a/rushroad/proxy/__main__.py
+++ b/rushroad/proxy/__main__.py
@@ -1,4 +1,4 @@
-"""The entry point of the gateway process: creates and connects its parts, and runs until SIGTERM."""
+"""The entry point of the gateway process: creates and connects its components, and runs until SIGTERM."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def _update_handler(engine: Engine, upstream: Upstream, loop: asyncio.AbstractEventLoop) -> UpdateHandler:
-    """Return the handler that passes endpoint updates to all parts that use them."""
+    """Return the handler that passes endpoint updates to all components that use them."""
     freezer = EndpointFreezer(loop)
 
     def apply_update(update: EndpointUpdate, listed: list[ListedEndpoint]) -> None:
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -83,7 +83,7 @@
         self._events: deque[Event] = deque()
         self._scheduled = False  # whether a call of `_process_events` is scheduled
 
-    # --- called by the other parts of the proxy -----------------------------------------------------------
+    # --- called by the other components of the proxy ------------------------------------------------------
 
     def submit(self, call: Call) -> int:
         """Accept a request and return its id, or 0 if a request with the same call id is in flight."""
--- a/rushroad/proxy/shutdown.py
+++ b/rushroad/proxy/shutdown.py
@@ -35,7 +35,7 @@
     upstream: Upstream,
     counter: CounterClient | None,
 ) -> None:
-    """Let requests finish within the time before SIGKILL, then close all other parts."""
+    """Let requests finish within the time before SIGKILL, then close all other components."""
     longest_deadline_s = max(request_class.deadline for request_class in settings.request_classes) / 1e6
     await listener.stop(ACCEPT_TIME_S, min(longest_deadline_s, MAX_REQUEST_TIME_S) + LAST_ANSWERS_TIME_S)
     # Closing the event loop restores the default signal handlers, by which a signal would kill the process.
--- a/tests/policy/test_latency.py
+++ b/tests/policy/test_latency.py
@@ -1,4 +1,4 @@
-"""Running means of response times."""
+"""Moving averages of response times."""
 
 import pytest
 
