--- a/rushroad/policy/attempt_result_recorder.py
+++ b/rushroad/policy/attempt_result_recorder.py
@@ -40,7 +40,7 @@
     def record(
         self, endpoint: ActiveEndpoint, event: AttemptFinished, pending: PendingRequest | None, now: int
     ) -> None:
-        """Record the result of an attempt; `pending` is None if the request already had its final answer."""
+        """Record the result of an attempt; `pending` is None if the request had finished before."""
         endpoint.concurrency.in_flight.pop((event.request_id, event.attempt), None)
         request_class = pending.request_class if pending is not None else None
         is_capacity_short = self._load_shedding.is_capacity_short
--- a/rushroad/policy/concurrency_limit.py
+++ b/rushroad/policy/concurrency_limit.py
@@ -103,10 +103,10 @@
         is_capacity_short: bool,
         now: int,
     ) -> None:
-        """Adapt the limit to an attempt's result; `request_class` is None if the request is already over."""
+        """Adapt the limit to a result; `request_class` is None if the request finished before its attempt."""
         started_at, limit = now - event.elapsed, concurrency.limit
         # A limit is raised only if half of it is in use; a pooled limit is also lowered only then. The
-        # attempt that has just ended counts as in use, although `in_flight` no longer contains it.
+        # attempt that has just finished counts as in use, although `in_flight` no longer contains it.
         is_pooled = self.pooled is not None
         is_half_used = (
             is_capacity_short if is_pooled else len(concurrency.in_flight) + 1 >= limit.attempts / 2
--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -1,8 +1,8 @@
 """Admission by a plan's limit on a tenant's open requests, over all gateways together.
 
 Where a plan limits only these, each open request holds a slot: it adds one to the tenant's total of open
-requests on the counter, and subtracts it when it has ended. Where a plan also has a rate, each gateway keeps
-to a fixed share of the limit. Times are whole microseconds.
+requests on the counter, and subtracts it when it has finished. Where a plan also has a rate, each gateway
+keeps to a fixed share of the limit. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -108,7 +108,7 @@
         return Admission.REJECT_OVER_CONCURRENCY
 
     def release(self, request_id: int) -> None:
-        """Return the slot of a request that has ended, if it holds one."""
+        """Return the slot of a request that has finished, if it holds one."""
         tenant = self._slots.pop(request_id, None)
         if tenant is not None and not self._breaker.is_open:
             self._call(tenant, -1.0, None)
--- a/rushroad/policy/events.py
+++ b/rushroad/policy/events.py
@@ -23,7 +23,7 @@
     CONNECT_FAILED = "connect failed"  # the request never reached the endpoint
     RESET = "reset"  # the connection broke; the request may have been executed
     CANCELLED = "cancelled"  # cancelled by this gateway; the request may have been executed
-    NOT_FORWARDED = "not forwarded"  # the request was already over, or had no attempts left
+    NOT_FORWARDED = "not forwarded"  # the request had finished before, or had no attempts left
 
     @property
     def proven_not_executed(self) -> bool:
@@ -63,14 +63,14 @@
 
 
 class AttemptFinished(msgspec.Struct, frozen=True, gc=False):
-    """The end of an attempt; exactly one follows each StartAttempt."""
+    """An attempt has finished; exactly one follows each StartAttempt."""
 
     request_id: int
     attempt: int
     endpoint: str
     result: Result
     elapsed: int
-    is_final: bool  # the request is over, because of this attempt or already before it
+    is_final: bool  # the request has finished, by this attempt or before it
     used_percent: int | None = None  # the tenant's use across all gateways; None if not metered
     actual_units: float | None = None
     load_report: tuple[float, ...] = ()  # in the order of Settings.load_report_fields
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -279,7 +279,7 @@
     def _on_attempt_finished(self, event: AttemptFinished) -> None:
         endpoint = self.endpoints.get(event.endpoint)
         pending = self.pending_requests.get(event.request_id)
-        self.load_shedding.attempt_ended(self._now)
+        self.load_shedding.attempt_finished(self._now)
         if event.is_final or pending is None:
             self.concurrency_quota.release(event.request_id)
         if endpoint is not None:
@@ -290,7 +290,7 @@
         if event.is_final or not pending.in_flight:  # otherwise a hedged attempt is in flight
             pending.tenant.concurrency.request_closed()
         if event.is_final:
-            self._complete(pending, event)
+            self._finish(pending, event)
             return
         if attempt is not None and not event.result.proven_not_executed:
             execution = PossibleExecution(attempt.endpoint.entry, attempt.started_at)
@@ -302,8 +302,8 @@
         else:
             self._reject_or_fail(pending)
 
-    def _complete(self, pending: PendingRequest, event: AttemptFinished) -> None:
-        """Remove a request that is over, because of this attempt or already before it."""
+    def _finish(self, pending: PendingRequest, event: AttemptFinished) -> None:
+        """Remove a request that has finished, by this attempt or before it."""
         if event.result is Result.OK and self._settings.uses_actual_units and event.actual_units is not None:
             self.quota.correct_units(pending, event.actual_units)
         del self.pending_requests[event.request_id]
--- a/rushroad/policy/load_shedding.py
+++ b/rushroad/policy/load_shedding.py
@@ -104,7 +104,7 @@
         self.accrue_credit(now)
         self._in_flight += 1
 
-    def attempt_ended(self, now: int) -> None:
+    def attempt_finished(self, now: int) -> None:
         """Remove an attempt from those in flight."""
         self.accrue_credit(now)
         self._in_flight = max(0, self._in_flight - 1)
--- a/rushroad/policy/pending_request.py
+++ b/rushroad/policy/pending_request.py
@@ -26,7 +26,7 @@
 
 
 class PossibleExecution:
-    """An attempt that has ended and may have been executed."""
+    """An attempt that has finished and may have been executed."""
 
     __slots__ = ("entry", "started_at")
 
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -133,7 +133,7 @@
         load_report: tuple[float, ...] = (),
         actual_units: float | None = None,
     ) -> None:
-        """Report the end of an attempt to the policy.
+        """Report to the policy that an attempt has finished.
 
         The first successful response of a request is passed to the client, and its actual units are charged.
         """
@@ -245,7 +245,7 @@
             self.post(AttemptFinished(*ids, Result.NOT_FORWARDED, 0, request.finished))
             return
         now_us = self.clock.now_us()
-        time_remaining_us = max(0, request.expires_at_us - now_us)
+        time_remaining_us = max(0, request.deadline_us - now_us)
         attempt = Attempt(action.request_id, number, action.endpoint, request, now_us)
         request.attempts_in_flight += 1
         self._attempts[(attempt.request_id, attempt.number)] = attempt
@@ -284,7 +284,7 @@
         return request
 
     def _fail(self, request_id: int) -> None:
-        """Fail a request, unless it is finished, and tell the policy that it has ended."""
+        """Fail a request, unless it is finished, and notify the policy."""
         request = self._finish(request_id)
         if request is not None:
             request.call.fail()
--- a/rushroad/proxy/in_flight.py
+++ b/rushroad/proxy/in_flight.py
@@ -45,7 +45,7 @@
     """A request that is unanswered, or whose end the policy has not processed yet."""
 
     call: Call
-    expires_at_us: int  # on the gateway's clock; the deadline that the policy uses
+    deadline_us: int  # on the gateway's clock, as the policy uses it
     deadline_timer: asyncio.TimerHandle
     attempts_started: int = 0
     attempts_in_flight: int = 0
