--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -66,7 +66,7 @@
         if now < pending.tenant.concurrency.full_until:
             return Admission.REJECT_OVER_CONCURRENCY
         if self._breaker.is_open:
-            if self._breaker.allow_trial(now):
+            if self._breaker.acquire_trial(now):
                 self._call(pending.tenant, 0.0, None)
             return self.decide_by_local_share(pending)
         if self._random.random() >= self._breaker.call_fraction:
--- a/rushroad/policy/counter_breaker.py
+++ b/rushroad/policy/counter_breaker.py
@@ -42,8 +42,8 @@
         """True while only a fraction of the requests may call the counter."""
         return self.call_fraction < 1.0
 
-    def allow_trial(self, now: int) -> bool:
-        """Whether a trial call may be made while the breaker is open; if so, schedules the next one."""
+    def acquire_trial(self, now: int) -> bool:
+        """Return whether a trial call may be made while the breaker is open; if so, schedule the next one."""
         if now < self.next_trial_at:
             return False
         self.next_trial_at = now + TRIAL_INTERVAL_TIMEOUTS * self._timeout
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -69,7 +69,7 @@
             # Its units would only be subtracted again, and calls for retries would overload the counter.
             return Admission.REJECT_OVER_QUOTA
         if self._breaker.is_open:
-            if self._breaker.allow_trial(now):
+            if self._breaker.acquire_trial(now):
                 pending.counted_units = pending.request.units
                 self._call(pending, None, pending.counted_units, now)
             return self.decide_by_estimate(pending, now)
