--- a/rushroad/policy/active_endpoints.py
+++ b/rushroad/policy/active_endpoints.py
@@ -115,8 +115,8 @@
 
     # --- changes of the endpoint list ---------------------------------------------------------------------
 
-    def update(self, entry: Endpoint, now: int) -> None:
-        """Apply the current entry of an endpoint; call `refresh` after the last one."""
+    def apply_entry(self, entry: Endpoint, now: int) -> None:
+        """Apply an entry of the endpoint list; call `rebuild_ready` after the last one."""
         endpoint = self._endpoints.get(entry.name)
         is_removed = entry.state is EndpointState.REMOVED
         in_subset = not is_removed and self._table.in_subset(entry)
@@ -139,7 +139,7 @@
         self._endpoints[entry.name] = endpoint
         return endpoint
 
-    def refresh(self) -> None:
+    def rebuild_ready(self) -> None:
         """Rebuild the list of ready endpoints."""
         self.ready = [e for e in self._endpoints.values() if e.entry.state is EndpointState.READY]
         self._warm_counted_at = None
@@ -157,7 +157,7 @@
         """Review the next batch of entries; return whether entries may be left."""
         batch = list(islice(self._review or (), REVIEW_BATCH_SIZE))
         for entry in batch:
-            self.update(entry, now)
+            self.apply_entry(entry, now)
         is_unfinished = len(batch) == REVIEW_BATCH_SIZE
         if not is_unfinished:
             self._review = None
@@ -193,7 +193,7 @@
         )
 
     def add_fallback(self, entry: Endpoint, now: int) -> ActiveEndpoint:
-        """Add an endpoint from outside the subset; call `refresh` after it."""
+        """Add an endpoint from outside the subset; call `rebuild_ready` after it."""
         endpoint = self._add(entry, now)
         endpoint.is_fallback = True
         return endpoint
--- a/rushroad/policy/endpoint_updates.py
+++ b/rushroad/policy/endpoint_updates.py
@@ -70,8 +70,8 @@
             self._start_review(now)
         for entry in changed:
             if not is_resized or entry.name in self._endpoints:  # the review adds the others
-                self._endpoints.update(entry, now)
-        self.refresh(now)
+                self._endpoints.apply_entry(entry, now)
+        self.active_endpoints_changed(now)
         if update.is_last_part:
             start_times = [endpoint.entry.started_at for endpoint in self._endpoints.ready]
             self._clock_skew.check_plausibility(start_times, now, self._settings.safety.warm_up_time)
@@ -95,9 +95,9 @@
         """Review the next batch of the endpoint list after a change of the subset size."""
         if self._endpoints.review_next_batch(now):
             self._timers.start_single(self._settings.tick, SUBSET_REVIEW)
-        self.refresh(now)
+        self.active_endpoints_changed(now)
 
-    def refresh(self, now: int) -> None:
-        """Update the state that depends on the active endpoints."""
+    def active_endpoints_changed(self, now: int) -> None:
+        """Update the state that depends on the active endpoints, after they have changed."""
         self._load_shedding.accrue_credit(now)
-        self._endpoints.refresh()
+        self._endpoints.rebuild_ready()
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -245,14 +245,14 @@
             return None
         suspects = self.outliers.suspects(self.endpoints.ready, now)
         if self.endpoints.add_fallback_if_needed(len(suspects), now):
-            self.endpoint_updates.refresh(now)
+            self.endpoint_updates.active_endpoints_changed(now)
         ejected = self.outliers.select_ejected(suspects, len(self.endpoints.ready))
         endpoint = self.load_balancer.choose(pending, avoid, ejected, now)
         if endpoint is None and pending.possible_executions:
             entry = self.load_balancer.find_in_cell(pending, now)
             if entry is not None:
                 endpoint = self.endpoints.add_fallback(entry, now)
-                self.endpoint_updates.refresh(now)
+                self.endpoint_updates.active_endpoints_changed(now)
         return endpoint
 
     def _start_attempt(self, pending: PendingRequest, endpoint: ActiveEndpoint) -> None:
--- a/rushroad/proxy/endpoint_addresses.py
+++ b/rushroad/proxy/endpoint_addresses.py
@@ -43,7 +43,7 @@
         """Return the address of an endpoint, or None if it is not ready."""
         return self._addresses.get(name)
 
-    def update(self, endpoint: Endpoint, host_port: tuple[str, int]) -> PackedAddress:
+    def apply_entry(self, endpoint: Endpoint, host_port: tuple[str, int]) -> PackedAddress:
         """Apply an entry of the endpoint list; returns its address, even if the endpoint is not ready."""
         name = endpoint.name
         self._unconfirmed.pop(name, None)
--- a/rushroad/proxy/endpoint_pool.py
+++ b/rushroad/proxy/endpoint_pool.py
@@ -84,7 +84,7 @@
         self.connecting_count -= 1
         self.upstream.pools_to_check.add(self)
 
-    def update(self, address: PackedAddress, ready: bool) -> None:
+    def apply_entry(self, address: PackedAddress, ready: bool) -> None:
         """Apply an entry of the endpoint list: the endpoint's address and whether it is ready."""
         if address != self.address:
             self.address = address
--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -81,9 +81,9 @@
         if is_snapshot and is_first_part:
             self._addresses.begin_snapshot()
         for endpoint, host_port in listed:
-            address = self._addresses.update(endpoint, host_port)
+            address = self._addresses.apply_entry(endpoint, host_port)
             if (pool := self._pools.get(endpoint.name)) is not None:
-                pool.update(address, endpoint.state is EndpointState.READY)
+                pool.apply_entry(address, endpoint.state is EndpointState.READY)
         if is_snapshot and is_last_part:
             for name in self._addresses.finish_snapshot():
                 if (pool := self._pools.get(name)) is not None:
--- a/tests/policy/test_endpoint_table.py
+++ b/tests/policy/test_endpoint_table.py
@@ -51,17 +51,17 @@
     driver = Driver(settings, endpoint_count=0)
     reviewed = [0]  # number of endpoints in each step of the gateway
     active = driver.gateway.endpoints
-    update, review_next_batch = active.update, active.review_next_batch
+    apply_entry, review_next_batch = active.apply_entry, active.review_next_batch
 
-    def count_update(entry: Endpoint, now: int) -> None:
+    def count_entry(entry: Endpoint, now: int) -> None:
         reviewed[-1] += 1
-        update(entry, now)
+        apply_entry(entry, now)
 
     def count_step(now: int) -> bool:
         reviewed.append(0)
         return review_next_batch(now)
 
-    active.update = count_update  # type: ignore[method-assign]
+    active.apply_entry = count_entry  # type: ignore[method-assign]
     active.review_next_batch = count_step  # type: ignore[method-assign]
     for start in range(0, len(endpoints), 250):
         reviewed.append(0)
--- a/tests/proxy/test_endpoint_addresses.py
+++ b/tests/proxy/test_endpoint_addresses.py
@@ -18,7 +18,7 @@
     """Addresses of the ready endpoints a and b."""
     addresses = EndpointAddresses()
     for name in ("a", "b"):
-        addresses.update(Endpoint(name, EndpointState.READY, started_at=7), ADDRESS)
+        addresses.apply_entry(Endpoint(name, EndpointState.READY, started_at=7), ADDRESS)
     return addresses
 
 
@@ -30,22 +30,22 @@
 
 def test_address_of_a_restarted_endpoint_differs(addresses: EndpointAddresses) -> None:
     before = addresses.get("a")
-    assert addresses.update(Endpoint("a", EndpointState.READY, started_at=8), ADDRESS) != before
-    assert addresses.update(Endpoint("a", EndpointState.READY, started_at=7), ADDRESS) == before
+    assert addresses.apply_entry(Endpoint("a", EndpointState.READY, started_at=8), ADDRESS) != before
+    assert addresses.apply_entry(Endpoint("a", EndpointState.READY, started_at=7), ADDRESS) == before
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
 def test_endpoint_that_is_not_ready_has_no_address(
     addresses: EndpointAddresses, state: EndpointState
 ) -> None:
-    addresses.update(Endpoint("a", state), ADDRESS)
+    addresses.apply_entry(Endpoint("a", state), ADDRESS)
     assert addresses.get("a") is None
     assert addresses.get("b") is not None
 
 
 def test_endpoint_that_a_complete_snapshot_does_not_name_is_removed(addresses: EndpointAddresses) -> None:
     addresses.begin_snapshot()
-    addresses.update(Endpoint("b", EndpointState.READY), ADDRESS)
+    addresses.apply_entry(Endpoint("b", EndpointState.READY), ADDRESS)
     assert addresses.get("a") is not None  # until the snapshot is complete
     assert list(addresses.finish_snapshot()) == ["a"]
     assert addresses.get("a") is None
@@ -54,7 +54,7 @@
 
 def test_new_snapshot_discards_an_unfinished_one(addresses: EndpointAddresses) -> None:
     addresses.begin_snapshot()
-    addresses.update(Endpoint("a", EndpointState.READY), ADDRESS)
+    addresses.apply_entry(Endpoint("a", EndpointState.READY), ADDRESS)
     addresses.begin_snapshot()
-    addresses.update(Endpoint("b", EndpointState.READY), ADDRESS)
+    addresses.apply_entry(Endpoint("b", EndpointState.READY), ADDRESS)
     assert list(addresses.finish_snapshot()) == ["a"]
