--- a/rushroad/proxy/counter_client.py
+++ b/rushroad/proxy/counter_client.py
@@ -13,9 +13,9 @@
 from rushroad.policy.events import CounterReply, LateCounterReply, Result
 from rushroad.proxy.counter_connection import (
     PING_REPLY,
-    CounterCall,
     CounterConnection,
     InvalidReplyError,
+    PipelinedCall,
     decode_total,
     encode_add,
 )
@@ -66,7 +66,9 @@
 
         Exactly one CounterReply follows, and a LateCounterReply if the total arrives after a TIMEOUT.
         """
-        call = CounterCall(total_name, amount, encode_add(total_name, amount, lifetime_us), self.loop.time())
+        call = PipelinedCall(
+            total_name, amount, encode_add(total_name, amount, lifetime_us), self.loop.time()
+        )
         connection = self.connection_for(total_name)
         if connection is None:
             self.finish(call, Result.CONNECT_FAILED)
@@ -100,7 +102,7 @@
             task.cancel()
         self._tasks = self._start_tasks()
 
-    def handle_reply(self, call: CounterCall, line: bytes, is_retired: bool) -> None:
+    def handle_reply(self, call: PipelinedCall, line: bytes, is_retired: bool) -> None:
         """Process the reply to a call; raises InvalidReplyError if the line is not a valid reply.
 
         is_retired: whether the call's connection has been replaced. A late total is then dropped, as it may
@@ -122,7 +124,7 @@
             self._on_event(LateCounterReply(call.total_name, call.amount, total))
         self.finish(call, Result.OK, total)
 
-    def finish(self, call: CounterCall, result: Result, total: float = 0.0) -> None:
+    def finish(self, call: PipelinedCall, result: Result, total: float = 0.0) -> None:
         """Report a call's outcome; further outcomes of the same call are dropped."""
         if call.finished or call.total_name is None:
             return
--- a/rushroad/proxy/counter_connection.py
+++ b/rushroad/proxy/counter_connection.py
@@ -51,7 +51,7 @@
     raise InvalidReplyError(f"expected a finite total or a rejection, got {line[:80]!r}")
 
 
-class CounterCall:
+class PipelinedCall:
     """A call to the counter. It stays queued after a time-out, as replies are matched to calls by order."""
 
     __slots__ = ("amount", "command", "finished", "started_at_s", "timer", "total_name")
@@ -68,7 +68,7 @@
     """A connection to the counter, with its calls that have no reply yet."""
 
     def __init__(self, client: CounterClient) -> None:
-        self.calls: deque[CounterCall] = deque()  # without a reply, oldest first
+        self.calls: deque[PipelinedCall] = deque()  # without a reply, oldest first
         self.has_replied = False
         self.is_retired = False  # replaced by another connection; takes no new calls
         self.lost = asyncio.Event()
@@ -114,7 +114,7 @@
         self.is_retired = True
         self._client.loop.call_later(UNRESPONSIVE_AFTER_S if self.calls else 0, self.close)
 
-    def send(self, call: CounterCall) -> None:
+    def send(self, call: PipelinedCall) -> None:
         """Send a call."""
         assert self._transport is not None
         self.calls.append(call)
@@ -122,7 +122,7 @@
 
     def ping(self, now_s: float) -> None:
         """Send a ping."""
-        self.send(CounterCall(None, 0.0, PING, now_s))
+        self.send(PipelinedCall(None, 0.0, PING, now_s))
 
     def data_received(self, data: bytes) -> None:
         """Match replies to calls, in order; an invalid reply closes the connection."""
--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -29,7 +29,7 @@
 LOCAL_CONNECT_ERRORS = RESOURCE_ERRORS | {errno.EADDRNOTAVAIL}
 
 
-class InFlightAttempt:
+class UpstreamAttempt:
     """The timeout timer and the connection of an attempt in flight."""
 
     __slots__ = ("connection", "timer")
@@ -62,7 +62,7 @@
         self._idempotent = [cls.idempotency is Idempotency.IDEMPOTENT for cls in settings.request_classes]
         self._addresses = EndpointAddresses()
         self._pools: dict[str, EndpointPool] = {}
-        self._in_flight: dict[Attempt, InFlightAttempt] = {}
+        self._in_flight: dict[Attempt, UpstreamAttempt] = {}
         self._connecting: dict[Attempt, asyncio.Task[None]] = {}
         self._sweep_idle()
 
@@ -92,7 +92,7 @@
     def start(self, attempt: Attempt, timeout_us: int) -> None:
         """Start an attempt on an idle or a new connection; exactly one `attempt_finished` follows."""
         timer = self.loop.call_later(max(0, timeout_us) / 1e6, self._on_timeout, attempt)
-        self._in_flight[attempt] = InFlightAttempt(timer)
+        self._in_flight[attempt] = UpstreamAttempt(timer)
         pool = self._pools.get(attempt.endpoint) or self._new_pool(attempt.endpoint)
         if pool is None:
             self.finish(attempt, Result.CONNECT_FAILED)
