--- a/rushroad/policy/active_endpoints.py
+++ b/rushroad/policy/active_endpoints.py
@@ -233,8 +233,8 @@
         self._remove_unneeded_fallbacks(now)
         self._warm_count = sum(not self._slow_start.is_warming_up(e.entry, now) for e in self.ready)
         self._warm_counted_at = now
-        for class_index, class_stats in self._class_stats.items():
-            entries = (e.entry for e in self.ready if e.entry.endpoint_class_index == class_index)
+        for endpoint_class_index, class_stats in self._class_stats.items():
+            entries = (e.entry for e in self.ready if e.entry.endpoint_class_index == endpoint_class_index)
             warm_count = sum(not self._slow_start.is_warming_up(entry, now) for entry in entries)
             class_stats.throughput.set_warm_count(warm_count, now)
 
--- a/rushroad/policy/load_balancer.py
+++ b/rushroad/policy/load_balancer.py
@@ -45,7 +45,7 @@
         random: Random,
     ) -> None:
         self._uses_endpoint_weights = settings.uses_endpoint_weights
-        self._report_fields = settings.load_report_fields
+        self._load_report_fields = settings.load_report_fields
         self._endpoints = endpoints
         self._limiter = limiter
         self._outliers = outliers
@@ -107,7 +107,7 @@
         return pending.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
 
     def find_in_cell(self, pending: PendingRequest, now: int) -> Endpoint | None:
-        """Return an endpoint outside the subset for the retry of a keyed request that is bound to a cell."""
+        """Return an endpoint outside the subset for the retry of a request that is bound to a cell."""
         if not self._retry_policy.is_bound_to_cell(pending):
             return None
         entry = self._endpoints.find_in_cell(pending.possible_executions[-1].entry.cell, now)
@@ -141,7 +141,7 @@
 
     def record_load_report(self, endpoint: ActiveEndpoint, report: tuple[float, ...], now: int) -> None:
         """Update the load estimate from a load report; the field "inflight" takes precedence over "util"."""
-        fields = dict(zip(self._report_fields, report, strict=False))
+        fields = dict(zip(self._load_report_fields, report, strict=False))
         load = endpoint.load
         if "inflight" in fields:
             load.requests = max(0.0, fields["inflight"] - len(endpoint.concurrency.in_flight))
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -56,7 +56,7 @@
         pending.is_likely_over_quota = pending.rejection_probability * overage_loss >= 1.0
 
     def is_within_hard_limits(self, pending: PendingRequest) -> bool:
-        """Whether this gateway's shares of the concurrency limit and the rate ceiling allow a request."""
+        """Whether this gateway's shares of the plan's open requests and rate ceiling allow a request."""
         if not within_local_share(pending, self._counter is not None):
             return False
         return pending.tenant.ceiling.allows(pending.plan, pending.request.units)
--- a/rushroad/policy/retry_policy.py
+++ b/rushroad/policy/retry_policy.py
@@ -55,7 +55,7 @@
         return self.time_to_objective(pending, now) > self._tick
 
     def may_hedge(self, pending: PendingRequest) -> bool:
-        """Return whether a second attempt may run beside an unanswered one; the first response counts."""
+        """Return whether a second attempt may run beside one in flight; the first response counts."""
         return self._limits.hedging_allowed and pending.request_class.idempotency is Idempotency.IDEMPOTENT
 
     def _leaves_time_for_retry(self, pending: PendingRequest) -> bool:
--- a/rushroad/proxy/clock.py
+++ b/rushroad/proxy/clock.py
@@ -10,8 +10,8 @@
 class Clock:
     """A monotonic clock that starts from Unix time.
 
-    The policy numbers the windows of the shared counter by this clock, so all gateways have to agree on the
-    time, and changes of the system clock must not affect it.
+    The policy derives from it when the windows of a tenant's total on the counter begin, so the clocks of all
+    gateways should agree, and changes of the system clock must not affect it.
     """
 
     offset_ns: int = field(default_factory=lambda: time.time_ns() - time.monotonic_ns())
--- a/rushroad/proxy/discovery.py
+++ b/rushroad/proxy/discovery.py
@@ -28,11 +28,11 @@
 # receive an update from the other watch, as the gateway counts as notified of an update 6 s after the agent
 # has it, even if it has not arrived.
 SILENCE_TIMEOUT_S = 4.2
-RESPONSE_TIMEOUT_S = 0.3  # for the local agent to answer, before another watch is opened
+RESPONSE_TIMEOUT_S = 0.3  # for the local agent to establish a watch, before another one is opened
 # The reconnect delays are short because a drain, which has a short grace period, may be missed meanwhile.
 INITIAL_RECONNECT_DELAY_S = 0.1
 MAX_RECONNECT_DELAY_S = 0.2
-MAX_PENDING_WATCHES = 6  # unanswered watches; beyond that the oldest is closed
+MAX_PENDING_WATCHES = 6  # watches not established yet; beyond that the oldest is closed
 UpdateHandler = Callable[[EndpointUpdate, list[ListedEndpoint]], None]
 
 
@@ -201,7 +201,7 @@
         self._task = loop.create_task(self._maintain_watch())
 
     def set_address(self, address: Address) -> None:
-        """Watch at another address, from the current version; until it answers, the old watch is read."""
+        """Watch at another address, from the current version; until it is established, read the old one."""
         if address == self.address:
             return
         self.address = address
@@ -267,7 +267,7 @@
     async def _maintain_watch(self) -> None:
         """Open watches until one is established, then wait until it ends or its silence timeout expires.
 
-        An unanswered watch stays open while the next one is tried: an agent that was unreachable may answer
+        A pending watch stays open while the next one is tried: an agent that was unreachable may respond to
         any of them once it is back, and the gateway counts as notified of the updates that it sends.
         """
         while True:
--- a/rushroad/proxy/endpoint_pool.py
+++ b/rushroad/proxy/endpoint_pool.py
@@ -74,7 +74,7 @@
         self.upstream.pools_to_check.add(self)
 
     def is_needed(self) -> bool:
-        """Return whether it has open or pending connections, or abandoned attempts of a ready endpoint."""
+        """Return whether it has or opens connections, or has abandoned attempts of a ready endpoint."""
         return bool(
             self.connections or self.connecting_count or (self.consecutive_abandoned and not self.stopped)
         )
