--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -27,7 +27,7 @@
 
 
 def within_local_share(pending: PendingRequest, has_counter: bool) -> bool:
-    """Whether this gateway's share of the limit admits a request; True if the counter holds the slots."""
+    """Return whether this gateway's share of the limit admits a request, or the counter holds the slots."""
     if not pending.plan.concurrency or (pending.plan.rate <= 0 and has_counter):
         return True
     return _has_local_slot(pending)
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -2,14 +2,17 @@
 
 `Gateway` passes each request through the components of the policy, each of which owns its state:
 
-arrival  `load_shedding` rejects the request if capacity is short; `quota` or `concurrency_quota` admits it by
-         the total on the shared counter, which `counter_breaker` protects; `rate_ceiling` enforces the hard
-         limit on the tenant's rate.
-attempt  `load_balancer` chooses among the `active_endpoints` that `outlier_detection`, `slow_start` and
-         `concurrency_limit` permit; `retry_policy` sets the timeout.
-result   `latency`, `throughput` and the components of an attempt update their state; `retry_policy` decides
-         on a retry.
-answer   Each request gets one final answer, which is a rejection only if the client may safely retry.
+arrival    `tenants` has the state of the tenant; `client_retries` estimates when the client first sent it.
+           `rate_ceiling` enforces the hard limit on the tenant's rate; `load_shedding` rejects the request if
+           capacity is short; `quota` or `concurrency_quota` admits it by the total on the shared counter,
+           which `counter_calls` requests and `counter_breaker` protects.
+attempt    `load_balancer` chooses among the `active_endpoints` that `outlier_detection`, `slow_start` and
+           `concurrency_limit` permit; `retry_policy` sets the timeout.
+result     `attempt_result_recorder` updates `latency`, `throughput` and the components of an attempt;
+           `retry_policy` decides on a retry.
+answer     Each request gets one final answer, which is a rejection only if the client may safely retry.
+endpoints  `endpoint_updates` applies updates to `endpoint_table`, the whole list, and to `active_endpoints`,
+           the subset that `subsetting` gives this gateway; `clock_skew` bounds the error of their uptimes.
 
 Times are whole microseconds.
 """
@@ -192,7 +195,7 @@
         return self.limiter.pooled is not None and self.load_shedding.is_capacity_short
 
     def _can_be_served(self, pending: PendingRequest) -> bool:
-        """Whether time, hard limits and capacity allow a request, regardless of its quota."""
+        """Return whether time, hard limits and capacity allow a request, regardless of its quota."""
         usable_time = min(pending.max_counter_wait, pending.objective_at - self._now)
         if usable_time <= self._settings.tick or not self.quota.is_within_hard_limits(pending):
             return False
--- a/rushroad/policy/outbox.py
+++ b/rushroad/policy/outbox.py
@@ -1,4 +1,4 @@
-"""The actions decided so far while one event is handled."""
+"""The actions decided so far while one event is handled; one outbox is shared by all components."""
 
 from __future__ import annotations
 
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -56,7 +56,10 @@
         pending.is_likely_over_quota = pending.rejection_probability * overage_loss >= 1.0
 
     def is_within_hard_limits(self, pending: PendingRequest) -> bool:
-        """Whether this gateway's shares of the plan's open requests and rate ceiling allow a request."""
+        """Return whether this gateway's shares of a plan's hard limits allow a request.
+
+        These are the limit on open requests and the rate ceiling.
+        """
         if not within_local_share(pending, self._counter is not None):
             return False
         return pending.tenant.ceiling.allows(pending.plan, pending.request.units)
@@ -102,14 +105,14 @@
         return fraction * (utilization / FULL_CALLS_UTILIZATION) ** 2
 
     def _is_known_over_quota(self, pending: PendingRequest, now: int) -> bool:
-        """Whether a request is over the quota for certain, without a call; one that may fit needs a total."""
+        """Return whether a request is over the quota for certain; one that may fit needs a call."""
         usage = pending.tenant.usage
         if not self._breaker.is_overloaded:
             return usage.used + pending.request.units > pending.plan.burst
         return not self._fits(pending, pending.request.units, now, usage.estimated_others)
 
     def _fits(self, pending: PendingRequest, units: float, now: int, disregarded: float = 0.0) -> bool:
-        """Whether the units fit, with a reserve where the tenant was near its limit recently.
+        """Return whether the units fit, with a reserve where the tenant was near its limit recently.
 
         The reserve is for units that no total includes yet, and for classes of a higher priority weight.
         Without it a quota at its limit would go to small requests only, as larger ones would never find
--- a/rushroad/policy/rate_ceiling.py
+++ b/rushroad/policy/rate_ceiling.py
@@ -28,7 +28,7 @@
         self._updated_at = now
 
     def allows(self, plan: Plan, units: float) -> bool:
-        """Whether a request of `units` stays within the ceiling."""
+        """Return whether a request of `units` stays within the ceiling."""
         return plan.ceiling_rate <= 0 or self.available_units >= units
 
     def consume(self, units: float) -> None:
--- a/rushroad/policy/tenant_usage.py
+++ b/rushroad/policy/tenant_usage.py
@@ -161,7 +161,7 @@
         self._overage += used - self.used - returned
 
     def fits(self, units: float, entry_point_count: int, reserve: float, disregarded: float = 0.0) -> bool:
-        """Whether the units fit beside `reserve` units and what other gateways have not reported yet.
+        """Return whether the units fit beside `reserve` units and what other gateways have not reported yet.
 
         Others are assumed to have unreported units in proportion to what they admit. `disregarded` units of
         the use count as free.
--- a/rushroad/proxy/connection_limit.py
+++ b/rushroad/proxy/connection_limit.py
@@ -1,4 +1,4 @@
-"""The limit on the total of connections to endpoints, each of which uses a file descriptor."""
+"""The limit on the connections to endpoints, over all pools: each connection uses a file descriptor."""
 
 from __future__ import annotations
 
--- a/rushroad/proxy/endpoint_pool.py
+++ b/rushroad/proxy/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool of one endpoint. Times are in seconds."""
+"""The connection pool of one endpoint; `upstream` has one for each endpoint in use. Times are in seconds."""
 
 from __future__ import annotations
 
--- a/rushroad/proxy/in_flight.py
+++ b/rushroad/proxy/in_flight.py
@@ -1,4 +1,4 @@
-"""Requests in flight and their attempts."""
+"""Requests in flight and their attempts, which the engine shares with the client side and `upstream`."""
 
 from __future__ import annotations
 
