--- a/rushroad/policy/active_endpoints.py
+++ b/rushroad/policy/active_endpoints.py
@@ -18,7 +18,7 @@
 from rushroad.policy.outlier_detection import OutlierDetector, OutlierState
 from rushroad.policy.settings import Settings
 from rushroad.policy.slow_start import SlowStart, SlowStartBudget
-from rushroad.policy.throughput import ClassThroughput
+from rushroad.policy.throughput import EndpointClassThroughput
 from rushroad.policy.time_units import SECOND
 
 WARM_COUNT_INTERVAL = SECOND  # between counts of the warm endpoints
@@ -30,13 +30,13 @@
 
 
 class EndpointClassStats:
-    """Statistics over all endpoints of a class: a gateway of a large fleet has too few samples of one."""
+    """Statistics over all endpoints of an endpoint class: in a large fleet, one gives too few samples."""
 
     __slots__ = ("latency", "throughput")
 
     def __init__(self, now: int) -> None:
         self.latency = RelativeLatency()
-        self.throughput = ClassThroughput(now)
+        self.throughput = EndpointClassThroughput(now)
 
 
 class ActiveEndpoint:
--- a/rushroad/policy/latency.py
+++ b/rushroad/policy/latency.py
@@ -35,11 +35,11 @@
         self._typical = [0.0 for _ in settings.request_classes]
 
     def typical(self, class_index: int) -> float:
-        """Return the typical response time of a class."""
+        """Return the typical response time of a request class."""
         return self._typical[class_index]
 
     def highest(self) -> float:
-        """Return the highest typical response time of all classes."""
+        """Return the highest typical response time of all request classes."""
         return max(self._typical)
 
     def relative(self, event: AttemptFinished, class_index: int) -> float | None:
--- a/rushroad/policy/load_balancer.py
+++ b/rushroad/policy/load_balancer.py
@@ -25,8 +25,8 @@
 LOAD_SMOOTHING = 0.2  # weight of a new report in the moving average of the load
 OVERLOAD_PENALTY = 4  # requests added to the load estimate of an endpoint that rejects a request
 MAX_UTILIZATION = 0.8  # higher reported values are capped: the load derived from them is unbounded near 1
-# With this many samples, an endpoint's own latency counts as much as its class's.
-CLASS_LATENCY_PRIOR_SAMPLES = 10.0
+# With this many samples, an endpoint's own latency counts as much as that of its endpoint class.
+ENDPOINT_CLASS_PRIOR_SAMPLES = 10.0
 MIN_WEIGHT = 0.01  # lower bound of an endpoint's weight, by which the load is divided
 TIE_BREAK_JITTER = 0.05  # fraction by which the expected wait varies at random even where the load is known
 
@@ -125,7 +125,7 @@
         confidence = math.exp((endpoint.load.updated_at - now) / LOAD_REPORT_TIME_CONSTANT)
         other_load = endpoint.load.requests * confidence + self._mean_load * (1.0 - confidence)
         samples = endpoint.latency.samples
-        own_fraction = samples / (samples + CLASS_LATENCY_PRIOR_SAMPLES)
+        own_fraction = samples / (samples + ENDPOINT_CLASS_PRIOR_SAMPLES)
         latency = endpoint.latency.mean * own_fraction + endpoint.class_stats.latency.mean * (
             1.0 - own_fraction
         )
--- a/rushroad/policy/throughput.py
+++ b/rushroad/policy/throughput.py
@@ -9,8 +9,8 @@
 TIME_CONSTANT = 5 * SECOND  # of the exponential decay; spans tens of responses
 
 
-class ClassThroughput:
-    """Decaying means of the response rate and of the number of warm endpoints of one class.
+class EndpointClassThroughput:
+    """Decaying means of the response rate and of the number of warm endpoints of one endpoint class.
 
     Both decay with the same time constant, so that their ratio, the rate of one warm endpoint, stays valid
     when many endpoints restart at once.
--- a/tests/policy/test_throughput.py
+++ b/tests/policy/test_throughput.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from rushroad.policy.throughput import ClassThroughput
+from rushroad.policy.throughput import EndpointClassThroughput
 from tests.support.gateway_driver import MS, SECOND
 
 
 def test_rate_converges_for_evenly_spaced_responses() -> None:
-    throughput = ClassThroughput(0)
+    throughput = EndpointClassThroughput(0)
     assert not throughput.is_known
     for response in range(1, 601):  # 20 per second for 30 s
         throughput.record_response(response * 50 * MS)
@@ -16,7 +16,7 @@
 
 
 def test_rate_and_mean_of_warm_endpoints_decay_alike() -> None:
-    throughput = ClassThroughput(0)
+    throughput = EndpointClassThroughput(0)
     throughput.set_warm_count(10, 0)
     for response in range(1, 601):
         throughput.record_response(response * 50 * MS)
@@ -27,6 +27,6 @@
 
 
 def test_first_count_of_warm_endpoints_applies_at_once() -> None:
-    throughput = ClassThroughput(0)
+    throughput = EndpointClassThroughput(0)
     throughput.set_warm_count(8, 5 * SECOND)
     assert throughput.mean_warm_count(5 * SECOND) == 8
