--- a/rushroad/policy/actions.py
+++ b/rushroad/policy/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the policy requests. All durations are whole microseconds."""
+"""The actions that the policy requests. Times are whole microseconds."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 class CounterAdd(msgspec.Struct, frozen=True, gc=False):
     """Add to a named total on the shared counter; the total expires `lifetime` after its first add."""
 
-    counter_name: int
+    total_name: int
     amount: float
     lifetime: int
 
--- a/rushroad/policy/active_endpoints.py
+++ b/rushroad/policy/active_endpoints.py
@@ -1,7 +1,7 @@
 """The endpoints that this gateway may forward to: its subset of the endpoint list, and fallback endpoints.
 
 A fallback endpoint is one from outside the subset. It is added while too few endpoints of the subset are
-healthy, or for a retry that must stay in its cell. Times are in microseconds.
+healthy, or for a retry that must stay in its cell. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from rushroad.policy.outlier_detection import OutlierDetector, OutlierState
 from rushroad.policy.settings import Settings
 from rushroad.policy.slow_start import SlowStart, SlowStartBudget
-from rushroad.policy.throughput import ClassThroughput
+from rushroad.policy.throughput import EndpointClassThroughput
 from rushroad.policy.time_units import SECOND
 
 WARM_COUNT_INTERVAL = SECOND  # between counts of the warm endpoints
@@ -30,17 +30,17 @@
 
 
 class EndpointClassStats:
-    """Statistics over all endpoints of a class: a gateway of a large fleet has too few samples of one."""
+    """Statistics over all endpoints of an endpoint class: in a large fleet, one gives too few samples."""
 
     __slots__ = ("latency", "throughput")
 
     def __init__(self, now: int) -> None:
         self.latency = RelativeLatency()
-        self.throughput = ClassThroughput(now)
+        self.throughput = EndpointClassThroughput(now)
 
 
 class ActiveEndpoint:
-    """An entry of the endpoint list, with the state that each part of the policy keeps for it."""
+    """An entry of the endpoint list, with the state that each component of the policy keeps for it."""
 
     __slots__ = (
         "class_stats",
@@ -115,8 +115,8 @@
 
     # --- changes of the endpoint list ---------------------------------------------------------------------
 
-    def update(self, entry: Endpoint, now: int) -> None:
-        """Apply the current entry of an endpoint; call `refresh` after the last one."""
+    def apply_entry(self, entry: Endpoint, now: int) -> None:
+        """Apply an entry of the endpoint list; call `rebuild_ready` after the last one."""
         endpoint = self._endpoints.get(entry.name)
         is_removed = entry.state is EndpointState.REMOVED
         in_subset = not is_removed and self._table.in_subset(entry)
@@ -139,7 +139,7 @@
         self._endpoints[entry.name] = endpoint
         return endpoint
 
-    def refresh(self) -> None:
+    def rebuild_ready(self) -> None:
         """Rebuild the list of ready endpoints."""
         self.ready = [e for e in self._endpoints.values() if e.entry.state is EndpointState.READY]
         self._warm_counted_at = None
@@ -157,7 +157,7 @@
         """Review the next batch of entries; return whether entries may be left."""
         batch = list(islice(self._review or (), REVIEW_BATCH_SIZE))
         for entry in batch:
-            self.update(entry, now)
+            self.apply_entry(entry, now)
         is_unfinished = len(batch) == REVIEW_BATCH_SIZE
         if not is_unfinished:
             self._review = None
@@ -193,7 +193,7 @@
         )
 
     def add_fallback(self, entry: Endpoint, now: int) -> ActiveEndpoint:
-        """Add an endpoint from outside the subset; call `refresh` after it."""
+        """Add an endpoint from outside the subset; call `rebuild_ready` after it."""
         endpoint = self._add(entry, now)
         endpoint.is_fallback = True
         return endpoint
@@ -233,8 +233,8 @@
         self._remove_unneeded_fallbacks(now)
         self._warm_count = sum(not self._slow_start.is_warming_up(e.entry, now) for e in self.ready)
         self._warm_counted_at = now
-        for class_index, class_stats in self._class_stats.items():
-            entries = (e.entry for e in self.ready if e.entry.endpoint_class_index == class_index)
+        for endpoint_class_index, class_stats in self._class_stats.items():
+            entries = (e.entry for e in self.ready if e.entry.endpoint_class_index == endpoint_class_index)
             warm_count = sum(not self._slow_start.is_warming_up(entry, now) for entry in entries)
             class_stats.throughput.set_warm_count(warm_count, now)
 
--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -1,8 +1,8 @@
 """Admission by a plan's limit on a tenant's open requests, over all gateways together.
 
 Where a plan limits only these, each open request holds a slot: it adds one to the tenant's total of open
-requests on the counter, and subtracts it when it has ended. Where a plan also has a rate, each gateway keeps
-to a fixed share of the limit. Times and spans are whole microseconds.
+requests on the counter, and subtracts it when it has finished. Where a plan also has a rate, each gateway
+keeps to a fixed share of the limit. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from rushroad.policy.admission import Admission
 from rushroad.policy.counter_breaker import CounterBreaker
-from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, concurrency_counter_name
+from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, concurrency_total_name
 from rushroad.policy.counter_window import ROUNDING_MARGIN
 from rushroad.policy.events import CounterReply, Result
 from rushroad.policy.latency import LatencyTracker
@@ -27,7 +27,7 @@
 
 
 def within_local_share(pending: PendingRequest, has_counter: bool) -> bool:
-    """Whether this gateway's share of the limit admits a request; True if the counter holds the slots."""
+    """Return whether this gateway's share of the limit admits a request, or the counter holds the slots."""
     if not pending.plan.concurrency or (pending.plan.rate <= 0 and has_counter):
         return True
     return _has_local_slot(pending)
@@ -66,10 +66,10 @@
         if now < pending.tenant.concurrency.full_until:
             return Admission.REJECT_OVER_CONCURRENCY
         if self._breaker.is_open:
-            if self._breaker.allow_trial(now):
+            if self._breaker.acquire_trial(now):
                 self._call(pending.tenant, 0.0, None)
             return self.decide_by_local_share(pending)
-        if self._random.random() >= self._breaker.call_share:
+        if self._random.random() >= self._breaker.call_fraction:
             return self.decide_by_local_share(pending)
         self._call(pending.tenant, 1.0, pending.request.id)
         if self._counter.timeout > pending.max_counter_wait:
@@ -108,11 +108,11 @@
         return Admission.REJECT_OVER_CONCURRENCY
 
     def release(self, request_id: int) -> None:
-        """Return the slot of a request that has ended, if it holds one."""
+        """Return the slot of a request that has finished, if it holds one."""
         tenant = self._slots.pop(request_id, None)
         if tenant is not None and not self._breaker.is_open:
             self._call(tenant, -1.0, None)
 
     def _call(self, tenant: Tenant, amount: float, waiting_request: int | None) -> None:
         call = CounterCall(CountedResource.CONCURRENCY, tenant, amount, waiting_request)
-        self._calls.add(concurrency_counter_name(tenant.id), call, SLOT_LIFETIME)
+        self._calls.add(concurrency_total_name(tenant.id), call, SLOT_LIFETIME)
--- a/rushroad/policy/endpoint_updates.py
+++ b/rushroad/policy/endpoint_updates.py
@@ -1,4 +1,7 @@
-"""Applies endpoint updates to the endpoint table and to this gateway's subset. Times are in microseconds."""
+"""Applies endpoint updates to the endpoint table and to this gateway's subset.
+
+Times are whole microseconds.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 from rushroad.policy.timers import SUBSET_REVIEW, WATCH_RETRY, Timers
 
 WATCH_RETRIES_PER_POLL_INTERVAL = 10  # at most, of a failed call to the discovery service
-INITIAL_CALL_SHARE = 0.5  # fraction of the requests of a large fleet that call the counter at first
+INITIAL_CALL_FRACTION = 0.5  # fraction of the requests of a large fleet that call the counter at first
 
 
 class EndpointUpdates:
@@ -67,8 +70,8 @@
             self._start_review(now)
         for entry in changed:
             if not is_resized or entry.name in self._endpoints:  # the review adds the others
-                self._endpoints.update(entry, now)
-        self.refresh(now)
+                self._endpoints.apply_entry(entry, now)
+        self.active_endpoints_changed(now)
         if update.is_last_part:
             start_times = [endpoint.entry.started_at for endpoint in self._endpoints.ready]
             self._clock_skew.check_plausibility(start_times, now, self._settings.safety.warm_up_time)
@@ -83,7 +86,7 @@
         if is_first and self._table.mean_replicas > SOFT_MAX_REPLICAS:
             # In a fleet of this size a gateway handles few requests per endpoint and per tenant.
             self._limiter.use_pooled_limit(now)
-            self._breaker.call_share = INITIAL_CALL_SHARE
+            self._breaker.call_fraction = INITIAL_CALL_FRACTION
             self._quota.samples_requests = True
         if self._endpoints.start_review():
             self.review_subset(now)
@@ -92,9 +95,9 @@
         """Review the next batch of the endpoint list after a change of the subset size."""
         if self._endpoints.review_next_batch(now):
             self._timers.start_single(self._settings.tick, SUBSET_REVIEW)
-        self.refresh(now)
+        self.active_endpoints_changed(now)
 
-    def refresh(self, now: int) -> None:
-        """Update the state that depends on the active endpoints."""
+    def active_endpoints_changed(self, now: int) -> None:
+        """Update the state that depends on the active endpoints, after they have changed."""
         self._load_shedding.accrue_credit(now)
-        self._endpoints.refresh()
+        self._endpoints.rebuild_ready()
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -2,16 +2,19 @@
 
 `Gateway` passes each request through the components of the policy, each of which owns its state:
 
-arrival  `load_shedding` rejects the request if capacity is short; `quota` or `concurrency_quota` admits it by
-         the total on the shared counter, which `counter_breaker` protects; `rate_ceiling` enforces the hard
-         limit on the tenant's rate.
-attempt  `load_balancer` chooses among the `active_endpoints` that `outlier_detection`, `slow_start` and
-         `concurrency_limit` permit; `retry_policy` sets the timeout.
-result   `latency`, `throughput` and the components of an attempt update their state; `retry_policy` decides
-         on a retry.
-answer   Each request gets one final answer, which is a rejection only if the client may safely retry.
-
-All timestamps and durations are whole microseconds.
+arrival    `tenants` has the state of the tenant; `client_retries` estimates when the client first sent it.
+           `rate_ceiling` enforces the hard limit on the tenant's rate; `load_shedding` rejects the request if
+           capacity is short; `quota` or `concurrency_quota` admits it by the total on the shared counter,
+           which `counter_calls` requests and `counter_breaker` protects.
+attempt    `load_balancer` chooses among the `active_endpoints` that `outlier_detection`, `slow_start` and
+           `concurrency_limit` permit; `retry_policy` sets the timeout.
+result     `attempt_result_recorder` updates `latency`, `throughput` and the components of an attempt;
+           `retry_policy` decides on a retry.
+answer     Each request gets one final answer, which is a rejection only if the client may safely retry.
+endpoints  `endpoint_updates` applies updates to `endpoint_table`, the whole list, and to `active_endpoints`,
+           the subset that `subsetting` gives this gateway; `clock_skew` bounds the error of their uptimes.
+
+Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -27,7 +30,7 @@
 from rushroad.policy.concurrency_limit import ConcurrencyLimiter
 from rushroad.policy.concurrency_quota import ConcurrencyQuota
 from rushroad.policy.counter_breaker import CounterBreaker
-from rushroad.policy.counter_calls import CountedResource, CounterCalls, tenant_of_units_counter
+from rushroad.policy.counter_calls import CountedResource, CounterCalls, tenant_of_units_total
 from rushroad.policy.endpoint_table import EndpointTable
 from rushroad.policy.endpoint_updates import EndpointUpdates
 from rushroad.policy.events import (
@@ -192,7 +195,7 @@
         return self.limiter.pooled is not None and self.load_shedding.is_capacity_short
 
     def _can_be_served(self, pending: PendingRequest) -> bool:
-        """Whether time, hard limits and capacity allow a request, regardless of its quota."""
+        """Return whether time, hard limits and capacity allow a request, regardless of its quota."""
         usable_time = min(pending.max_counter_wait, pending.objective_at - self._now)
         if usable_time <= self._settings.tick or not self.quota.is_within_hard_limits(pending):
             return False
@@ -207,7 +210,7 @@
             self._reject_or_fail(pending)
 
     def _on_counter_reply(self, reply: CounterReply) -> None:
-        call = self.counter_calls.take_oldest(reply.counter_name)
+        call = self.counter_calls.take_oldest(reply.total_name)
         request_id = call.waiting_request
         pending = self.pending_requests.get(request_id) if request_id is not None else None
         self.counter_breaker.record(reply, self._now)
@@ -219,7 +222,7 @@
             self._apply_admission(admission, pending)
 
     def _on_late_counter_reply(self, reply: LateCounterReply) -> None:
-        tenant_id = tenant_of_units_counter(reply.counter_name)
+        tenant_id = tenant_of_units_total(reply.total_name)
         tenant = self.tenants.get(tenant_id) if tenant_id is not None else None
         if tenant is not None:
             tenant.usage.apply_late_total(reply.amount, reply.total, self._now)
@@ -245,14 +248,14 @@
             return None
         suspects = self.outliers.suspects(self.endpoints.ready, now)
         if self.endpoints.add_fallback_if_needed(len(suspects), now):
-            self.endpoint_updates.refresh(now)
+            self.endpoint_updates.active_endpoints_changed(now)
         ejected = self.outliers.select_ejected(suspects, len(self.endpoints.ready))
         endpoint = self.load_balancer.choose(pending, avoid, ejected, now)
         if endpoint is None and pending.possible_executions:
             entry = self.load_balancer.find_in_cell(pending, now)
             if entry is not None:
                 endpoint = self.endpoints.add_fallback(entry, now)
-                self.endpoint_updates.refresh(now)
+                self.endpoint_updates.active_endpoints_changed(now)
         return endpoint
 
     def _start_attempt(self, pending: PendingRequest, endpoint: ActiveEndpoint) -> None:
@@ -279,7 +282,7 @@
     def _on_attempt_finished(self, event: AttemptFinished) -> None:
         endpoint = self.endpoints.get(event.endpoint)
         pending = self.pending_requests.get(event.request_id)
-        self.load_shedding.attempt_ended(self._now)
+        self.load_shedding.attempt_finished(self._now)
         if event.is_final or pending is None:
             self.concurrency_quota.release(event.request_id)
         if endpoint is not None:
@@ -290,7 +293,7 @@
         if event.is_final or not pending.in_flight:  # otherwise a hedged attempt is in flight
             pending.tenant.concurrency.request_closed()
         if event.is_final:
-            self._complete(pending, event)
+            self._finish(pending, event)
             return
         if attempt is not None and not event.result.proven_not_executed:
             execution = PossibleExecution(attempt.endpoint.entry, attempt.started_at)
@@ -302,8 +305,8 @@
         else:
             self._reject_or_fail(pending)
 
-    def _complete(self, pending: PendingRequest, event: AttemptFinished) -> None:
-        """Remove a request that is over, because of this attempt or already before it."""
+    def _finish(self, pending: PendingRequest, event: AttemptFinished) -> None:
+        """Remove a request that has finished, by this attempt or before it."""
         if event.result is Result.OK and self._settings.uses_actual_units and event.actual_units is not None:
             self.quota.correct_units(pending, event.actual_units)
         del self.pending_requests[event.request_id]
--- a/rushroad/policy/latency.py
+++ b/rushroad/policy/latency.py
@@ -1,17 +1,17 @@
-"""Running means of response times by request class, endpoint and endpoint class, in microseconds."""
+"""Moving averages of response times by request class, endpoint and endpoint class, in microseconds."""
 
 from __future__ import annotations
 
 from rushroad.policy.events import AttemptFinished, Result
 from rushroad.policy.settings import Settings
 
-# Weight of a new response time in a running mean. The work per request varies by as much as its mean, so that
-# about 30 responses must count.
+# Weight of a new response time in a moving average. The work per request varies by as much as its mean, so
+# that about 30 responses must count.
 RESPONSE_TIME_SMOOTHING = 0.03
 
 
 class RelativeLatency:
-    """Running mean of response times, as multiples of the typical one of the request class."""
+    """Moving average of response times, as multiples of the typical one of the request class."""
 
     __slots__ = ("mean", "samples")
 
@@ -35,11 +35,11 @@
         self._typical = [0.0 for _ in settings.request_classes]
 
     def typical(self, class_index: int) -> float:
-        """Return the typical response time of a class."""
+        """Return the typical response time of a request class."""
         return self._typical[class_index]
 
     def highest(self) -> float:
-        """Return the highest typical response time of all classes."""
+        """Return the highest typical response time of all request classes."""
         return max(self._typical)
 
     def relative(self, event: AttemptFinished, class_index: int) -> float | None:
--- a/rushroad/policy/load_balancer.py
+++ b/rushroad/policy/load_balancer.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint with the least expected wait for an attempt. Times are in microseconds."""
+"""Chooses the endpoint with the least expected wait for an attempt. Times are whole microseconds."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 ERROR_RATE_WEIGHT = 4.0  # of the error rate in the expected wait; an error may cost the whole request
 AVOID_PENALTY_FACTOR = 10.0  # multiplies the expected wait at the endpoint of the failed attempt
 LOAD_REPORT_TIME_CONSTANT = SECOND  # of the exponential decay of the confidence in a load report
-LOAD_SMOOTHING = 0.2  # weight of a new report in the running mean load
+LOAD_SMOOTHING = 0.2  # weight of a new report in the moving average of the load
 OVERLOAD_PENALTY = 4  # requests added to the load estimate of an endpoint that rejects a request
 MAX_UTILIZATION = 0.8  # higher reported values are capped: the load derived from them is unbounded near 1
-# With this many samples, an endpoint's own latency counts as much as its class's.
-CLASS_LATENCY_PRIOR_SAMPLES = 10.0
+# With this many samples, an endpoint's own latency counts as much as that of its endpoint class.
+ENDPOINT_CLASS_PRIOR_SAMPLES = 10.0
 MIN_WEIGHT = 0.01  # lower bound of an endpoint's weight, by which the load is divided
 TIE_BREAK_JITTER = 0.05  # fraction by which the expected wait varies at random even where the load is known
 
 
 class LoadBalancer:
-    """Chooses among the active endpoints that all parts of the policy allow for an attempt."""
+    """Chooses among the active endpoints that all components of the policy allow for an attempt."""
 
     def __init__(
         self,
@@ -45,14 +45,14 @@
         random: Random,
     ) -> None:
         self._uses_endpoint_weights = settings.uses_endpoint_weights
-        self._report_fields = settings.load_report_fields
+        self._load_report_fields = settings.load_report_fields
         self._endpoints = endpoints
         self._limiter = limiter
         self._outliers = outliers
         self._slow_start = slow_start
         self._retry_policy = retry_policy
         self._random = random
-        self._mean_load = 0.0  # running mean of reported loads
+        self._mean_load = 0.0  # moving average of reported loads
 
     def choose(
         self, pending: PendingRequest, avoid: str | None, ejected: set[str], now: int
@@ -107,7 +107,7 @@
         return pending.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
 
     def find_in_cell(self, pending: PendingRequest, now: int) -> Endpoint | None:
-        """Return an endpoint outside the subset for the retry of a keyed request that is bound to a cell."""
+        """Return an endpoint outside the subset for the retry of a request that is bound to a cell."""
         if not self._retry_policy.is_bound_to_cell(pending):
             return None
         entry = self._endpoints.find_in_cell(pending.possible_executions[-1].entry.cell, now)
@@ -125,8 +125,10 @@
         confidence = math.exp((endpoint.load.updated_at - now) / LOAD_REPORT_TIME_CONSTANT)
         other_load = endpoint.load.requests * confidence + self._mean_load * (1.0 - confidence)
         samples = endpoint.latency.samples
-        own_share = samples / (samples + CLASS_LATENCY_PRIOR_SAMPLES)
-        latency = endpoint.latency.mean * own_share + endpoint.class_stats.latency.mean * (1.0 - own_share)
+        own_fraction = samples / (samples + ENDPOINT_CLASS_PRIOR_SAMPLES)
+        latency = endpoint.latency.mean * own_fraction + endpoint.class_stats.latency.mean * (
+            1.0 - own_fraction
+        )
         tie_break = self._random.uniform(1.0 - TIE_BREAK_JITTER, 1.0 + TIE_BREAK_JITTER)
         random_factor = tie_break * math.pow(self._random.expovariate(1.0), (1.0 - confidence) / 2)
         error_factor = 1.0 + ERROR_RATE_WEIGHT * endpoint.outlier.error_rate
@@ -139,7 +141,7 @@
 
     def record_load_report(self, endpoint: ActiveEndpoint, report: tuple[float, ...], now: int) -> None:
         """Update the load estimate from a load report; the field "inflight" takes precedence over "util"."""
-        fields = dict(zip(self._report_fields, report, strict=False))
+        fields = dict(zip(self._load_report_fields, report, strict=False))
         load = endpoint.load
         if "inflight" in fields:
             load.requests = max(0.0, fields["inflight"] - len(endpoint.concurrency.in_flight))
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -2,7 +2,7 @@
 
 Each request adds its units to the tenant's total on the shared counter and is admitted by the result, so
 that gateways need not know each other. Where the counter is unavailable or overloaded, a gateway decides by
-its own estimate. Times and spans are whole microseconds.
+its own estimate. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from rushroad.policy.admission import Admission
 from rushroad.policy.concurrency_quota import within_local_share
 from rushroad.policy.counter_breaker import CounterBreaker
-from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, units_counter_name
+from rushroad.policy.counter_calls import CountedResource, CounterCall, CounterCalls, units_total_name
 from rushroad.policy.events import CounterReply, Result
 from rushroad.policy.pending_request import PendingRequest
 from rushroad.policy.settings import Settings
@@ -20,7 +20,7 @@
 from rushroad.policy.time_units import SECOND
 from rushroad.policy.timers import CounterWaitExpired, Timers
 
-FULL_SHARE_UTILIZATION = 0.5  # of the burst, from which a tenant's requests get the full call share
+FULL_CALLS_UTILIZATION = 0.5  # of the burst, from which the full call fraction applies to a tenant
 NEAR_LIMIT_REFILLS = 2.0  # refills of the burst for which a tenant counts as near its limit
 MIN_RESERVE_FRACTION = 0.5  # of the largest request; every class leaves this free near the limit
 CALLS_PER_ADMISSION = 2.0  # counter calls for requests over the quota, per expected admission
@@ -56,7 +56,10 @@
         pending.is_likely_over_quota = pending.rejection_probability * overage_loss >= 1.0
 
     def is_within_hard_limits(self, pending: PendingRequest) -> bool:
-        """Whether this gateway's shares of the concurrency limit and the rate ceiling allow a request."""
+        """Return whether this gateway's shares of a plan's hard limits allow a request.
+
+        These are the limit on open requests and the rate ceiling.
+        """
         if not within_local_share(pending, self._counter is not None):
             return False
         return pending.tenant.ceiling.allows(pending.plan, pending.request.units)
@@ -69,18 +72,18 @@
             # Its units would only be subtracted again, and calls for retries would overload the counter.
             return Admission.REJECT_OVER_QUOTA
         if self._breaker.is_open:
-            if self._breaker.allow_trial(now):
+            if self._breaker.acquire_trial(now):
                 pending.counted_units = pending.request.units
                 self._call(pending, None, pending.counted_units, now)
             return self.decide_by_estimate(pending, now)
         return self._call_or_estimate(pending, now)
 
     def _call_or_estimate(self, pending: PendingRequest, now: int) -> Admission:
-        """Call the counter for the share of requests that its load allows; decide the others by estimate."""
-        share = self._call_share(pending)
-        if self._random.random() < share:
+        """Call the counter for the call fraction of the requests; decide the others by estimate."""
+        fraction = self._call_fraction(pending)
+        if self._random.random() < fraction:
             sampled = self.samples_requests and not pending.is_likely_over_quota
-            pending.counted_units = pending.request.units / share if sampled else pending.request.units
+            pending.counted_units = pending.request.units / fraction if sampled else pending.request.units
             self._call(pending, pending.request.id, pending.counted_units, now)
             if self._counter is not None and self._counter.timeout > pending.max_counter_wait:
                 self._timers.start(pending.max_counter_wait, CounterWaitExpired(pending.request.id))
@@ -89,27 +92,27 @@
             return Admission.REJECT_OVER_QUOTA
         return self.decide_by_estimate(pending, now)
 
-    def _call_share(self, pending: PendingRequest) -> float:
-        share = self._breaker.call_share
-        if share >= 1.0:
-            return share
+    def _call_fraction(self, pending: PendingRequest) -> float:
+        fraction = self._breaker.call_fraction
+        if fraction >= 1.0:
+            return fraction
         if pending.is_likely_over_quota:
-            return share * min(1.0, CALLS_PER_ADMISSION * (1.0 - pending.rejection_probability))
+            return fraction * min(1.0, CALLS_PER_ADMISSION * (1.0 - pending.rejection_probability))
         if self.samples_requests:
-            return share
+            return fraction
         # The more of its burst a tenant has used, the more its total matters.
         utilization = (pending.tenant.usage.used + pending.request.units) / pending.plan.burst
-        return share * (utilization / FULL_SHARE_UTILIZATION) ** 2
+        return fraction * (utilization / FULL_CALLS_UTILIZATION) ** 2
 
     def _is_known_over_quota(self, pending: PendingRequest, now: int) -> bool:
-        """Whether a request is over the quota for certain, without a call; one that may fit needs a total."""
+        """Return whether a request is over the quota for certain; one that may fit needs a call."""
         usage = pending.tenant.usage
         if not self._breaker.is_overloaded:
             return usage.used + pending.request.units > pending.plan.burst
         return not self._fits(pending, pending.request.units, now, usage.estimated_others)
 
     def _fits(self, pending: PendingRequest, units: float, now: int, disregarded: float = 0.0) -> bool:
-        """Whether the units fit, with a reserve where the tenant was near its limit recently.
+        """Return whether the units fit, with a reserve where the tenant was near its limit recently.
 
         The reserve is for units that no total includes yet, and for classes of a higher priority weight.
         Without it a quota at its limit would go to small requests only, as larger ones would never find
@@ -157,7 +160,7 @@
         tenant.usage.restart_window_if_expired(now)
         amount = units + tenant.usage.take_unreported()
         call = CounterCall(CountedResource.UNITS, tenant, amount, waiting_request)
-        self._calls.add(units_counter_name(tenant.id), call, tenant.usage.window.lifetime(now))
+        self._calls.add(units_total_name(tenant.id), call, tenant.usage.window.lifetime(now))
 
     def on_reply(
         self, call: CounterCall, reply: CounterReply, pending: PendingRequest | None, now: int
--- a/rushroad/proxy/endpoint_pool.py
+++ b/rushroad/proxy/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool of one endpoint. Times are in seconds."""
+"""The connection pool of one endpoint; `upstream` has one for each endpoint in use. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
         self.upstream.pools_to_check.add(self)
 
     def is_needed(self) -> bool:
-        """Return whether it has open or pending connections, or abandoned attempts of a ready endpoint."""
+        """Return whether it has or opens connections, or has abandoned attempts of a ready endpoint."""
         return bool(
             self.connections or self.connecting_count or (self.consecutive_abandoned and not self.stopped)
         )
@@ -84,7 +84,7 @@
         self.connecting_count -= 1
         self.upstream.pools_to_check.add(self)
 
-    def update(self, address: PackedAddress, ready: bool) -> None:
+    def apply_entry(self, address: PackedAddress, ready: bool) -> None:
         """Apply an entry of the endpoint list: the endpoint's address and whether it is ready."""
         if address != self.address:
             self.address = address
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -61,8 +61,8 @@
 class Counter(Protocol):
     """Sends additions to the shared counter."""
 
-    def add(self, counter_name: int, amount: float, lifetime_us: int) -> None:
-        """Add to a counter and post exactly one `CounterReply` event."""
+    def add(self, total_name: int, amount: float, lifetime_us: int) -> None:
+        """Add to a named total and post exactly one `CounterReply` event."""
 
 
 class Engine:
@@ -83,7 +83,7 @@
         self._events: deque[Event] = deque()
         self._scheduled = False  # whether a call of `_process_events` is scheduled
 
-    # --- called by the other parts of the proxy -----------------------------------------------------------
+    # --- called by the other components of the proxy ------------------------------------------------------
 
     def submit(self, call: Call) -> int:
         """Accept a request and return its id, or 0 if a request with the same call id is in flight."""
@@ -133,7 +133,7 @@
         load_report: tuple[float, ...] = (),
         actual_units: float | None = None,
     ) -> None:
-        """Report the end of an attempt to the policy.
+        """Report to the policy that an attempt has finished.
 
         The first successful response of a request is passed to the client, and its actual units are charged.
         """
@@ -221,7 +221,7 @@
             case StartAttempt():
                 self._start_attempt(action)
             case CounterAdd():
-                self.counter.add(action.counter_name, action.amount, action.lifetime)
+                self.counter.add(action.total_name, action.amount, action.lifetime)
             case SetTimer():
                 self._loop.call_later(action.delay / 1e6, self.post, TimerFired(action.token))
             case Reject():
@@ -245,7 +245,7 @@
             self.post(AttemptFinished(*ids, Result.NOT_FORWARDED, 0, request.finished))
             return
         now_us = self.clock.now_us()
-        time_remaining_us = max(0, request.expires_at_us - now_us)
+        time_remaining_us = max(0, request.deadline_us - now_us)
         attempt = Attempt(action.request_id, number, action.endpoint, request, now_us)
         request.attempts_in_flight += 1
         self._attempts[(attempt.request_id, attempt.number)] = attempt
@@ -284,7 +284,7 @@
         return request
 
     def _fail(self, request_id: int) -> None:
-        """Fail a request, unless it is finished, and tell the policy that it has ended."""
+        """Fail a request, unless it is finished, and notify the policy."""
         request = self._finish(request_id)
         if request is not None:
             request.call.fail()
