--- a/tests/integration/soak.py
+++ b/tests/integration/soak.py
@@ -23,7 +23,7 @@
 
 from rushroad.bench.commands import CounterMode
 from tests.support.gateway_cluster import POLL_INTERVAL_S, ClientConnection, GatewayCluster, request_command
-from tests.support.soak_judgement import (
+from tests.support.soak_checker import (
     EFFECT_BY_CLASS,
     INCONCLUSIVE,
     SentRequest,
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -8,7 +8,7 @@
 from tests.support.gateway_cluster import GatewayCluster
 from tests.support.loopback import run_with_timeout
 from tests.support.rate_server import Attempt, RateServer
-from tests.support.soak_judgement import INCONCLUSIVE, SentRequest, SoakChecker, SoakResult
+from tests.support.soak_checker import INCONCLUSIVE, SentRequest, SoakChecker, SoakResult
 
 SEEDS, JOBS = 6, 2
 REQUEST = b"%016x" % 1
