--- a/tests/integration/soak.py
+++ b/tests/integration/soak.py
@@ -1,4 +1,4 @@
-"""A seeded soak of a real gateway: load, disruptions, repeated signals, shutdown and the earliest kill.
+"""A seeded soak of a real gateway: load, disruptions, repeated signals, shutdown and the earliest SIGKILL.
 
 All rules are checked from outside, by what clients sent and received and by what rate servers received:
 
@@ -31,11 +31,13 @@
     SoakResult,
 )
 
-# SIGKILL follows SIGTERM after min(deadline, KILL_AFTER_S) + KILL_MARGIN_S.
+# SIGKILL follows SIGTERM after min(deadline of the request classes, KILL_AFTER_S) + KILL_MARGIN_S.
 KILL_AFTER_S, KILL_MARGIN_S = 3.0, 0.7
 MAX_RUNS = 3  # of a seed, while its runs are inconclusive
 CLOSE_RACE_S = 0.1  # a write and the close of its connection may race within this time
-MAX_STALL_S = 0.15  # of a gateway; deadlines, deduplication windows and the drain grace allow for it
+# Longest stall of a gateway; deadlines, deduplication windows and the drain grace allow for it. A run in
+# which this process stalled longer is inconclusive.
+MAX_STALL_S = 0.15
 IDLE_CLIENTS = 120  # more connections than a gateway with FEW_SOCKETS accepts from clients
 FEW_SOCKETS, SOCKETS = 128, 1_024
 
@@ -92,7 +94,7 @@
         idle = [await cluster.connect() for _ in range(IDLE_CLIENTS if self._connections_limited else 0)]
         loop = asyncio.get_running_loop()
         clients = [
-            loop.create_task(self._run_client(cluster, client)) for client in range(random.randrange(4, 20))
+            loop.create_task(self._run_client(cluster, number)) for number in range(random.randrange(4, 20))
         ]
         for _ in range(random.randrange(1, 5)):
             await asyncio.sleep(random.uniform(0.05, 0.5))
@@ -147,9 +149,9 @@
             case 5:
                 cluster.counter.set_mode(random.choice(list(CounterMode)), 1, random.uniform(0.01, 0.2))
 
-    async def _run_client(self, cluster: GatewayCluster, client: int) -> None:
+    async def _run_client(self, cluster: GatewayCluster, client_number: int) -> None:
         """Run one client, which sends batches on a connection and reconnects after a close."""
-        random = Random(self.result.seed * 1_000 + client)
+        random = Random(self.result.seed * 1_000 + client_number)
         connection: ClientConnection | None = None
         is_unused = True  # no request has been sent on the connection
         while not self._is_stopped:
@@ -160,7 +162,9 @@
                     await asyncio.sleep(POLL_INTERVAL_S)
                     continue
             size = random.choice([1, 1, 1, 3, 80])
-            batch = [self._create_request(random, client, is_unused and index == 0) for index in range(size)]
+            batch = [
+                self._create_request(random, client_number, is_unused and index == 0) for index in range(size)
+            ]
             connection.writer.write(b"".join(command for _, command in batch))
             is_unused = False
             if not await self._read_answers([request for request, _ in batch], connection, cluster):
@@ -171,14 +175,20 @@
         if connection is not None:
             connection.writer.close()
 
-    def _create_request(self, random: Random, client: int, first: bool) -> tuple[SentRequest, bytes]:
+    def _create_request(
+        self, random: Random, client_number: int, first_on_connection: bool
+    ) -> tuple[SentRequest, bytes]:
         """Create a request and its command."""
-        name = random.choice(list(EFFECT_BY_CLASS))
+        class_name = random.choice(list(EFFECT_BY_CLASS))
         time_remaining_s = self._deadline_s * random.uniform(0.2, 1.0)
-        number = len(self._requests) + 1
-        command = request_command(number, max(1, int(time_remaining_s * 1e3)), tenant=client, name=name)
-        request = SentRequest(name, asyncio.get_running_loop().time(), time_remaining_s, first)
-        self._requests[b"%016x" % number] = request
+        request_id = len(self._requests) + 1
+        command = request_command(
+            request_id, max(1, int(time_remaining_s * 1e3)), tenant=client_number, class_name=class_name
+        )
+        request = SentRequest(
+            class_name, asyncio.get_running_loop().time(), time_remaining_s, first_on_connection
+        )
+        self._requests[b"%016x" % request_id] = request
         return request, command
 
     @staticmethod
@@ -191,7 +201,7 @@
             answer = await connection.read_answer()
             request.previous_answered_at, answered_at = answered_at, loop.time()
             if not answer:
-                is_race = answered_at - request.sent_at < CLOSE_RACE_S + cluster.timing_allowance()
+                is_race = answered_at - request.sent_at < CLOSE_RACE_S + cluster.timing_allowance_s()
                 for unanswered in batch[index:]:
                     # The connection was closed between batches: the gateway has read none of these requests.
                     unanswered.raced_with_close = not index and is_race
@@ -206,17 +216,17 @@
             result.violations.append(f"exit status {exit_status}")
         result.outcomes["answered at the shutdown deadline"] += log.count("the policy did not answer request")
         if "Traceback" in log:
-            result.violations.append(f"log: {log[-300:]!r}")
-        result.max_loop_lag = cluster.max_loop_lag
-        if result.max_loop_lag > MAX_STALL_S:
+            result.violations.append(f"traceback in the log, which ends with {log[-300:]!r}")
+        result.max_loop_lag_s = cluster.max_loop_lag_s
+        if result.max_loop_lag_s > MAX_STALL_S:
             result.outcomes[INCONCLUSIVE] += 1
         else:
-            checker = SoakChecker(result, cluster.timing_allowance(), self._connections_limited)
+            checker = SoakChecker(result, cluster.timing_allowance_s(), self._connections_limited)
             checker.check(self._requests, cluster)
 
 
-async def soak(first: int, seeds: int, jobs: int) -> list[SoakResult]:
-    """Run these seeds, `jobs` at a time, printing each result as it completes; return the results."""
+async def soak(first_seed: int, seed_count: int, jobs: int) -> list[SoakResult]:
+    """Run consecutive seeds, `jobs` at a time; print each result as it completes, and return all results."""
     semaphore = asyncio.Semaphore(jobs)
 
     async def run_seed(seed: int) -> SoakResult:
@@ -227,11 +237,11 @@
             if not run.result.outcomes[INCONCLUSIVE]:
                 break
         result = run.result
-        lag = f"maximum event loop lag of this process {result.max_loop_lag:.3f} s"
+        lag = f"maximum event loop lag of this process {result.max_loop_lag_s:.3f} s"
         print(f"seed {seed}: {dict(result.outcomes)}, {lag}", *result.violations[:5], sep="\n  ", flush=True)
         return result
 
-    return await asyncio.gather(*(run_seed(seed) for seed in range(first, first + seeds)))
+    return await asyncio.gather(*(run_seed(seed) for seed in range(first_seed, first_seed + seed_count)))
 
 
 def main() -> int:
--- a/tests/integration/test_arrival_times.py
+++ b/tests/integration/test_arrival_times.py
@@ -11,7 +11,7 @@
 
 DEADLINE_SLACK_S = 0.15  # by which the deadline passed on may exceed the client's
 ANSWER_SLACK_S = 0.05  # an answer this long after the client's deadline is still in time
-CLIENT_TIMEOUT_MS = 1_500
+TIME_REMAINING_MS = 1_500
 SMALL_PIPELINE = 200  # commands, few enough for any machine to read without delay
 STALL_S = 0.6
 
@@ -27,7 +27,7 @@
             client, loop = await cluster.connect(), asyncio.get_running_loop()
             numbers = range(commands)
             client.writer.write(
-                b"".join(request_command(number, CLIENT_TIMEOUT_MS, tenant=number) for number in numbers)
+                b"".join(request_command(number, TIME_REMAINING_MS, tenant=number) for number in numbers)
             )
             sent_at = loop.time()
             latencies = []
@@ -37,12 +37,14 @@
             attempts = cluster.attempts()
             assert len(attempts) > 40, len(attempts)
             excess = [
-                a.received_at + a.time_remaining_ms / 1e3 - sent_at - CLIENT_TIMEOUT_MS / 1e3
+                a.received_at + a.time_remaining_ms / 1e3 - sent_at - TIME_REMAINING_MS / 1e3
                 for a in attempts
             ]
-            assert max(excess) <= DEADLINE_SLACK_S + cluster.timing_allowance()
-            if commands <= SMALL_PIPELINE:  # the time to read thousands depends on the machine
-                assert max(latencies) <= CLIENT_TIMEOUT_MS / 1e3 + ANSWER_SLACK_S + cluster.timing_allowance()
+            assert max(excess) <= DEADLINE_SLACK_S + cluster.timing_allowance_s()
+            if commands <= SMALL_PIPELINE:  # the time to read thousands of commands depends on the machine
+                assert (
+                    max(latencies) <= TIME_REMAINING_MS / 1e3 + ANSWER_SLACK_S + cluster.timing_allowance_s()
+                )
 
     run(scenario)
 
@@ -60,7 +62,7 @@
             assert await client.read_answer() == b"+PONG"
             process.send_signal(signal.SIGSTOP)
             client = await cluster.connect() if new_connection else client
-            client.writer.write(request_command(1, CLIENT_TIMEOUT_MS))
+            client.writer.write(request_command(1, TIME_REMAINING_MS))
             sent_at = loop.time()
             await asyncio.sleep(STALL_S)  # the stall itself is under test
             process.send_signal(signal.SIGCONT)
@@ -68,7 +70,7 @@
             (attempt,) = cluster.attempts()
             assert (
                 attempt.received_at + attempt.time_remaining_ms / 1e3 - sent_at
-                <= CLIENT_TIMEOUT_MS / 1e3 + DEADLINE_SLACK_S + cluster.timing_allowance()
+                <= TIME_REMAINING_MS / 1e3 + DEADLINE_SLACK_S + cluster.timing_allowance_s()
             )
 
     run(scenario)
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -11,7 +11,7 @@
 from tests.support.soak_checker import INCONCLUSIVE, SentRequest, SoakChecker, SoakResult
 
 SEEDS, JOBS = 6, 2
-REQUEST = b"%016x" % 1
+REQUEST_ID = b"%016x" % 1
 
 
 def check(
@@ -26,12 +26,12 @@
     if draining_since is not None:
         server.draining_since = draining_since
     cluster.rate_servers = [server]
-    SoakChecker(result, 0.0, connections_limited).check({REQUEST: request}, cluster)
+    SoakChecker(result, 0.0, connections_limited).check({REQUEST_ID: request}, cluster)
     return result
 
 
 def sent_request(
-    class_name: bytes = b"quote", answer: bytes = REQUEST, answered_at: float = 10.5
+    class_name: bytes = b"quote", answer: bytes = REQUEST_ID, answered_at: float = 10.5
 ) -> SentRequest:
     return SentRequest(class_name, 10.0, 1.0, False, [answer] if answer else [], answered_at)
 
@@ -39,10 +39,10 @@
 def recorded_attempt(
     received_at: float = 10.1, time_remaining_ms: int = 600, ended_at: float = 10.4
 ) -> Attempt:
-    return Attempt("s-0", REQUEST, time_remaining_ms, received_at, ended_at)
+    return Attempt("s-0", REQUEST_ID, time_remaining_ms, received_at, ended_at)
 
 
-def test_no_rule_is_broken_under_load_repeated_signals_and_the_earliest_kill() -> None:
+def test_no_rule_is_broken_under_load_repeated_signals_and_the_earliest_sigkill() -> None:
     async def scenario() -> None:
         results = await soak(1, SEEDS, JOBS)
         assert {result.seed: result.violations for result in results if result.violations} == {}
--- a/tests/support/gateway_cluster.py
+++ b/tests/support/gateway_cluster.py
@@ -45,18 +45,22 @@
 
 
 def request_command(
-    request: int,
+    request_id: int,
     time_remaining_ms: int,
     tenant: int = 7,
     spread: int = 1,
-    name: bytes = b"quote",
+    class_name: bytes = b"quote",
     units: int = 1,
     body: bytes = b"BODY",
 ) -> bytes:
-    """Encode a client's command for a request of the class `name`; the class `quote` has no body."""
-    options = b"c=%b,t=small,d=%d,units=%d,spread=%d,first=0" % (name, time_remaining_ms, units, spread)
-    words = [b"CALL.GET" if name == b"quote" else b"CALL.POST", b"%016x" % tenant, b"%016x" % request]
-    return resp.encode_array([*words, options] if name == b"quote" else [*words, options, body])
+    """Encode a client's command for a request of this class; requests of the class `quote` have no body."""
+    options = b"c=%b,t=small,d=%d,units=%d,spread=%d,first=0" % (class_name, time_remaining_ms, units, spread)
+    words = [
+        b"CALL.GET" if class_name == b"quote" else b"CALL.POST",
+        b"%016x" % tenant,
+        b"%016x" % request_id,
+    ]
+    return resp.encode_array([*words, options] if class_name == b"quote" else [*words, options, body])
 
 
 @dataclass
@@ -72,7 +76,7 @@
     service_time_s: float = 0.0  # of a rate server for each request
     settings: dict[str, Any] = field(default_factory=dict)
     environments: Mapping[int, Mapping[str, str]] = field(default_factory=dict)  # by gateway number
-    sockets: int = 1_024
+    sockets: int = 1_024  # limit of each gateway's file descriptors
     stderr: Any = None  # of the processes; None writes a log file for each
 
     async def __aenter__(self) -> GatewayCluster:
@@ -84,7 +88,7 @@
         self.counter = Counter(1, asyncio.get_running_loop())
         self.counter_address = await self.counter.listen()
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
-        self.max_loop_lag = 0.0  # seconds, of this process
+        self.max_loop_lag_s = 0.0  # of this process
         self._lag_monitor = asyncio.create_task(self._measure_loop_lag())
         self.ports = {number: self._free_port() for number in range(self.gateways)}
         return self
@@ -94,15 +98,15 @@
         while True:
             before = loop.time()
             await asyncio.sleep(POLL_INTERVAL_S)
-            self.max_loop_lag = max(self.max_loop_lag, loop.time() - before - POLL_INTERVAL_S)
+            self.max_loop_lag_s = max(self.max_loop_lag_s, loop.time() - before - POLL_INTERVAL_S)
 
-    def timing_allowance(self) -> float:
-        """Return the seconds that a busy machine may add to times measured by this process.
+    def timing_allowance_s(self) -> float:
+        """Return the time that a busy machine may add to times measured by this process.
 
         A gateway may be delayed as long as this process was, both when it reads and when it writes, and this
         process when it reads the result. On an idle machine the allowance is a few milliseconds.
         """
-        return 3 * self.max_loop_lag
+        return 3 * self.max_loop_lag_s
 
     @staticmethod
     def _free_port() -> int:
@@ -159,7 +163,7 @@
                     client.writer.close()
                     return
             await asyncio.sleep(POLL_INTERVAL_S)
-        raise AssertionError(f"gateway {number} does not answer PING")
+        raise AssertionError(f"gateway {number} did not answer PING within {PROCESS_TIMEOUT_S} s")
 
     async def connect(self, number: int = 0) -> ClientConnection:
         """Open a client connection to a gateway."""
--- a/tests/support/rate_server.py
+++ b/tests/support/rate_server.py
@@ -19,7 +19,7 @@
     """A complete command received by a rate server. Times are in seconds of the test's event loop."""
 
     server: str
-    request: bytes
+    request_id: bytes
     time_remaining_ms: int  # as passed on by the gateway
     received_at: float
     ended_at: float = math.inf  # when its response was written or its connection closed
@@ -83,7 +83,7 @@
         if not connection.transport.is_closing():
             connection.in_flight.remove(attempt)
             attempt.ended_at = asyncio.get_running_loop().time()
-            value = self.value or attempt.request
+            value = self.value or attempt.request_id
             response = b"*3\r\n$%d\r\n%b\r\n%b$-1\r\n" % (len(value), value, self.usage_figures)
             connection.replies.complete(reply, response)
 
