--- a/tests/proxy/test_endpoint_pool.py
+++ b/tests/proxy/test_endpoint_pool.py
@@ -20,7 +20,7 @@
         second, _ = await peer.receive()
         assert first is not second
         second.write(OK)
-        assert await harness.attempt_finished() == (2, Result.OK)
+        assert await harness.next_result() == (2, Result.OK)
         harness.send()
         assert (await peer.receive())[0] is second
 
@@ -35,7 +35,7 @@
         harness.send()
         first, _ = await peer.receive()
         first.write(OK)
-        await harness.attempt_finished()
+        await harness.next_result()
         harness.send()  # the first connection is within its settle time
         second, _ = await peer.receive()
         assert second is not first
@@ -52,7 +52,7 @@
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         await peer.answer(OK)
-        await harness.attempt_finished()
+        await harness.next_result()
         now = harness.upstream.loop.time()
         # The endpoint closes idle connections after 60 s, the gateway after half of that.
         for idle_s, stays_open in ((25.0, True), (35.0, False)):
@@ -62,7 +62,7 @@
             assert (data != b"") is stays_open
             if stays_open:
                 writer.write(OK)
-                await harness.attempt_finished()
+                await harness.next_result()
 
     run_upstream_scenario(scenario)
 
@@ -73,7 +73,7 @@
         writer, _ = await peer.receive()
         harness.upstream.update_endpoints([], True)  # a snapshot without the endpoint
         writer.write(OK)
-        assert await harness.attempt_finished() == (1, Result.OK)
+        assert await harness.next_result() == (1, Result.OK)
         assert (await peer.receive())[1] == b""
 
     run_upstream_scenario(scenario)
@@ -83,8 +83,8 @@
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         await peer.answer(OK)
-        await harness.attempt_finished()
-        harness.upstream.update_endpoints(endpoint_at(peer.port, started=7), False)
+        await harness.next_result()
+        harness.upstream.update_endpoints(endpoint_at(peer.port, started_at=7), False)
         assert (await peer.receive())[1] == b""
 
     run_upstream_scenario(scenario)
@@ -94,9 +94,9 @@
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         writer, _ = await peer.receive()
-        harness.upstream.update_endpoints(endpoint_at(peer.port, started=7), False)
+        harness.upstream.update_endpoints(endpoint_at(peer.port, started_at=7), False)
         writer.write(OK)
-        assert await harness.attempt_finished() == (1, Result.OK)
+        assert await harness.next_result() == (1, Result.OK)
         assert await peer.receive() == (writer, b"")
 
     run_upstream_scenario(scenario)
@@ -113,12 +113,12 @@
         for writer, _ in received:
             writer.write(OK)
         for _ in range(3):
-            await harness.attempt_finished()
+            await harness.next_result()
         for _ in range(abandoned):
             attempt = harness.send()
             assert (await peer.receive())[1] != b""
             harness.upstream.cancel(attempt)
-            assert await harness.attempt_finished() == (attempt.request_id, Result.CANCELLED)
+            assert await harness.next_result() == (attempt.request_id, Result.CANCELLED)
             assert (await peer.receive())[1] == b""
         if abandoned == 2:
             assert (await peer.receive())[1] == b""  # the third connection, which was idle
@@ -137,9 +137,9 @@
         slow = harness.send()
         second, _ = await peer.receive()
         first.write(OK)
-        assert await harness.attempt_finished() == (1, Result.OK)
+        assert await harness.next_result() == (1, Result.OK)
         harness.upstream.cancel(slow)
-        assert await harness.attempt_finished() == (2, Result.CANCELLED)
+        assert await harness.next_result() == (2, Result.CANCELLED)
         assert (await peer.receive()) == (second, b"")
         harness.send()
         assert (await peer.receive())[0] is first
@@ -152,19 +152,19 @@
         for _ in range(3):  # each connection is reset at its second request
             harness.send()
             writer = await respond(peer, OK)
-            await harness.attempt_finished()
+            await harness.next_result()
             harness.send()
             while not (again := await peer.receive())[1]:
                 pass
             assert again[0] is writer
             writer.transport.abort()
-            assert (await harness.attempt_finished())[1] is Result.RESET
+            assert (await harness.next_result())[1] is Result.RESET
         harness.send()
         writer = await respond(peer, OK)
-        await harness.attempt_finished()
+        await harness.next_result()
         harness.send(class_index=NOT_IDEMPOTENT)
         assert await respond(peer, OK) is not writer
-        assert (await harness.attempt_finished())[1] is Result.OK
+        assert (await harness.next_result())[1] is Result.OK
 
     run_upstream_scenario(scenario)
 
@@ -179,11 +179,11 @@
         upstream._sweep_idle()
         assert set(upstream._pools) == {"s-1"}
         writer.write(OK)
-        assert await harness.attempt_finished() == (1, Result.OK)
+        assert await harness.next_result() == (1, Result.OK)
         upstream._sweep_idle()
         assert not upstream._pools
         harness.send()
-        assert await harness.attempt_finished() == (2, Result.CONNECT_FAILED)
+        assert await harness.next_result() == (2, Result.CONNECT_FAILED)
 
     run_upstream_scenario(scenario)
 
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -21,7 +21,7 @@
             bound.bind((LOOPBACK, 0))
             harness = UpstreamHarness(bound.getsockname()[1])
             harness.send()
-            assert await harness.attempt_finished() == (1, Result.CONNECT_FAILED)
+            assert await harness.next_result() == (1, Result.CONNECT_FAILED)
 
     run(scenario)
 
@@ -30,10 +30,10 @@
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         await peer.answer(OK)  # the connection is established, so the time-out can't occur while connecting
-        await harness.attempt_finished()
-        harness.send(timeout=20_000)
+        await harness.next_result()
+        harness.send(timeout_us=20_000)
         assert (await peer.receive())[1] != b""
-        assert await harness.attempt_finished() == (2, Result.TIMEOUT)
+        assert await harness.next_result() == (2, Result.TIMEOUT)
         assert (await peer.receive())[1] == b""
 
     run_upstream_scenario(scenario)
@@ -42,9 +42,9 @@
 def test_attempt_cancelled_or_timed_out_while_connecting_writes_nothing_later() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.upstream.cancel(harness.send(size=11))
-        assert await harness.attempt_finished() == (1, Result.CONNECT_FAILED)
-        timed_out = harness.send(timeout=0, size=12)
-        assert await harness.attempt_finished() == (timed_out.request_id, Result.CONNECT_FAILED)
+        assert await harness.next_result() == (1, Result.CONNECT_FAILED)
+        timed_out = harness.send(timeout_us=0, size=12)
+        assert await harness.next_result() == (timed_out.request_id, Result.CONNECT_FAILED)
         harness.send(size=13)
         while (received := (await peer.receive())[1]) == b"":
             pass
@@ -62,7 +62,7 @@
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send(size=11)
         harness.upstream.update_endpoints(endpoint_at(peer.port, state), False)
-        assert await harness.attempt_finished() == (1, Result.CONNECT_FAILED)
+        assert await harness.next_result() == (1, Result.CONNECT_FAILED)
         harness.upstream.update_endpoints(endpoint_at(peer.port), False)
         harness.send(size=12)
         while (received := (await peer.receive())[1]) == b"":
@@ -79,9 +79,9 @@
         harness.upstream.loop = cast(asyncio.AbstractEventLoop, loop)
         harness.send(size=11)
         await loop.connect_requested.wait()
-        harness.upstream.update_endpoints(endpoint_at(peer.port, started=7), False)
+        harness.upstream.update_endpoints(endpoint_at(peer.port, started_at=7), False)
         loop.connect_allowed.set()
-        assert await harness.attempt_finished() == (1, Result.NOT_FORWARDED)
+        assert await harness.next_result() == (1, Result.NOT_FORWARDED)
         assert (await peer.receive())[1] == b""
 
     run_upstream_scenario(scenario)
@@ -92,9 +92,9 @@
         harness.send()
         writer, _ = await peer.receive()
         harness.send()
-        assert await harness.attempt_finished() == (2, Result.NOT_FORWARDED)
+        assert await harness.next_result() == (2, Result.NOT_FORWARDED)
         writer.write(OK)
-        assert await harness.attempt_finished() == (1, Result.OK)
+        assert await harness.next_result() == (1, Result.OK)
 
     run_upstream_scenario(scenario, max_connections=1)
 
@@ -114,6 +114,6 @@
         )
         monkeypatch.setattr(harness.upstream, "loop", loop)
         harness.send()
-        assert await harness.attempt_finished() == (1, Result.NOT_FORWARDED)
+        assert await harness.next_result() == (1, Result.NOT_FORWARDED)
 
     run(scenario)
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -28,7 +28,7 @@
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         await peer.answer(response)
-        await harness.attempt_finished()
+        await harness.next_result()
         assert (await peer.receive())[1] == b""
 
     run_upstream_scenario(scenario)
@@ -38,7 +38,7 @@
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         await peer.answer(OK)
-        await harness.attempt_finished()
+        await harness.next_result()
         peer.writers[0].write(b"+hello\r\n")
         assert (await peer.receive())[1] == b""
 
@@ -49,7 +49,7 @@
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         (await peer.receive())[0].transport.abort()
-        assert await harness.attempt_finished() == (1, Result.RESET)
+        assert await harness.next_result() == (1, Result.RESET)
 
     run_upstream_scenario(scenario)
 
@@ -63,7 +63,7 @@
             connection, _ = await asyncio.get_running_loop().sock_accept(listener)
             await asyncio.get_running_loop().sock_recv(connection, 10)
             connection.close()
-            assert await harness.attempt_finished() == (1, Result.CONNECT_FAILED)
+            assert await harness.next_result() == (1, Result.CONNECT_FAILED)
 
     run(scenario)
 
@@ -74,7 +74,7 @@
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         await peer.answer(OK)
-        await harness.attempt_finished()
+        await harness.next_result()
         for transport in harness.transports():
             transport.close()
         harness.send(size=12)
@@ -82,7 +82,7 @@
             pass
         peer.writers[-1].write(OK)
         assert received == resp(b"CALL.GET", b"x" * 12)
-        assert await harness.attempt_finished() == (2, Result.OK)
+        assert await harness.next_result() == (2, Result.OK)
 
     run_upstream_scenario(scenario)
 
@@ -98,7 +98,7 @@
             endpoint, _ = await loop.sock_accept(listener)
             assert await loop.sock_recv(endpoint, 100) != b""
             endpoint.send(OK)
-            await harness.attempt_finished()
+            await harness.next_result()
             endpoint.send(OK)  # not read by the event loop before the next attempt
             harness.send(size=12)
             other, _ = await loop.sock_accept(listener)
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -20,7 +20,7 @@
 
 
 class SizedCall:
-    """A client's call whose command has the given size."""
+    """A client's call; its forwarded command has one argument of `size` bytes."""
 
     def __init__(self, size: int = 10, class_index: int = IDEMPOTENT) -> None:
         self.size, self.class_index = size, class_index
@@ -28,20 +28,20 @@
     def poll_disconnect(self) -> bool:
         return False
 
-    def forwarded_command(self, _time_remaining: int) -> bytes:
+    def forwarded_command(self, _time_remaining_us: int) -> bytes:
         return resp(b"CALL.GET", b"x" * self.size)
 
 
 def request_in_flight(size: int, class_index: int) -> Any:
-    """The part of a request that an attempt uses, with a command of the given size."""
+    """The part of a request that an attempt uses; its command has one argument of `size` bytes."""
     return SimpleNamespace(call=SizedCall(size, class_index))
 
 
 def endpoint_at(
-    port: int, state: EndpointState = EndpointState.READY, started: int = 0
+    port: int, state: EndpointState = EndpointState.READY, started_at: int = 0
 ) -> list[tuple[Endpoint, tuple[str, int]]]:
     """An endpoint list with one endpoint, s-1, at this port of the loopback address."""
-    return [(Endpoint("s-1", state, started_at=started), (LOOPBACK, port))]
+    return [(Endpoint("s-1", state, started_at=started_at), (LOOPBACK, port))]
 
 
 class UpstreamHarness:
@@ -53,12 +53,14 @@
         self.upstream = Upstream(cast(Engine, self.engine), settings, 60_000_000, max_connections, loop)
         self.upstream.update_endpoints(endpoint_at(port), True)
 
-    def send(self, timeout: int = LONG_TIMEOUT_US, size: int = 10, class_index: int = IDEMPOTENT) -> Attempt:
+    def send(
+        self, timeout_us: int = LONG_TIMEOUT_US, size: int = 10, class_index: int = IDEMPOTENT
+    ) -> Attempt:
         """Start an attempt of a new request; request ids count from 1."""
         self.attempt_count += 1
         request = request_in_flight(size, class_index)
         attempt = Attempt(self.attempt_count, 0, "s-1", request, self.engine.clock.now_us())
-        self.upstream.start(attempt, timeout)
+        self.upstream.start(attempt, timeout_us)
         return attempt
 
     def transports(self) -> list[asyncio.Transport]:
@@ -67,8 +69,8 @@
         transports = [connection.transport for pool in pools for connection in pool.connections]
         return [transport for transport in transports if transport is not None]
 
-    async def attempt_finished(self) -> tuple[int, Result]:
-        """Wait for an attempt to finish; returns the id of its request, and its result."""
+    async def next_result(self) -> tuple[int, Result]:
+        """Wait for the next attempt to finish; return its request id and its result."""
         return (await self.engine.outcomes.get())[:2]
 
 
--- a/tests/support/client_side.py
+++ b/tests/support/client_side.py
@@ -1,4 +1,4 @@
-"""The client side of the gateway on loopback sockets, with an engine that records the calls."""
+"""The client side of the gateway on loopback sockets, with an engine that records submitted calls."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
--- a/tests/support/counter_client_scenarios.py
+++ b/tests/support/counter_client_scenarios.py
@@ -26,14 +26,16 @@
 
 
 def run_with_counter_client(
-    scenario: Callable[[CounterClient, Peer, RecordedReplies], Awaitable[None]], timeout: int
+    scenario: Callable[[CounterClient, Peer, RecordedReplies], Awaitable[None]], timeout_us: int
 ) -> None:
-    """Run a scenario with a client that has all its connections to a peer in the counter's place."""
+    """Run a scenario with a client whose connections, to a peer in place of the counter, are established."""
 
     async def start() -> None:
         replies = RecordedReplies()
         async with Peer() as peer:
-            client = CounterClient((LOOPBACK, peer.port), timeout, replies.post, asyncio.get_running_loop())
+            client = CounterClient(
+                (LOOPBACK, peer.port), timeout_us, replies.post, asyncio.get_running_loop()
+            )
             await wait_until_connected(client)
             await scenario(client, peer, replies)
             client.close()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -32,11 +32,13 @@
 
 
 def resp(*words: bytes) -> bytes:
+    """Encode a command as an array of bulk strings."""
     return encode_array(list(words))
 
 
-def call(number: int, options: bytes = b"c=lookup,t=basic,d=900,units=2,spread=2,first=1") -> bytes:
-    return resp(b"CALL.GET", TENANT, b"%016x" % number, options)
+def call(request_id: int, options: bytes = b"c=lookup,t=basic,d=900,units=2,spread=2,first=1") -> bytes:
+    """Encode a client's command for a request without a body."""
+    return resp(b"CALL.GET", TENANT, b"%016x" % request_id, options)
 
 
 class Peer:
@@ -85,13 +87,14 @@
 
 
 class RecordingEngine:
-    """Replaces the engine: records the calls of the client side and of the endpoint side."""
+    """Replaces the engine: records what the client side and the upstream side report to it."""
 
     def __init__(self) -> None:
         self.clock = Clock()
+        # Of each finished attempt: its request id, its result, the value and the load report in the response.
         self.outcomes: asyncio.Queue[tuple[int, Result, bytes, tuple[float, ...]]] = asyncio.Queue()
-        self.calls: asyncio.Queue[Any] = asyncio.Queue()
-        self.disconnected: asyncio.Queue[int] = asyncio.Queue()
+        self.calls: asyncio.Queue[Any] = asyncio.Queue()  # submitted by client connections
+        self.disconnected: asyncio.Queue[int] = asyncio.Queue()  # request ids
         self.ids_in_flight: set[bytes] = set()
         self.actual_units: list[float | None] = []
         self.unanswered: list[Any] = []  # failed by `answer_all`
@@ -115,8 +118,8 @@
         self._request_count += 1
         return self._request_count
 
-    def client_disconnected(self, request: int) -> None:
-        self.disconnected.put_nowait(request)
+    def client_disconnected(self, request_id: int) -> None:
+        self.disconnected.put_nowait(request_id)
 
     def answer_all(self) -> None:
         for call in self.unanswered:
