--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""Support for KNOWN-RED.txt: the tests that it lists are run and reported, but cannot fail the run."""
+"""Support for KNOWN-RED.txt: the tests that it lists are run and reported, but cannot fail the run.
+
+Each line is `test id | cause | issue`.
+"""
 
 from pathlib import Path
 
@@ -17,17 +20,20 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Mark the listed tests as expected failures; too many lines, or one that names no test, end the run."""
+    """Mark the listed tests as expected failures; a list too long or with an unknown test ends the run.
+
+    Only a run of all tests looks for unknown ones, since other runs need not collect all listed tests.
+    """
     known_failures = read_known_failures()
     if len(known_failures) > MAX_KNOWN_FAILURES:
         raise pytest.UsageError(
-            f"KNOWN-RED.txt has {len(known_failures)} lines, {MAX_KNOWN_FAILURES} at most"
+            f"KNOWN-RED.txt has {len(known_failures)} lines; at most {MAX_KNOWN_FAILURES} are allowed"
         )
     files = {item.nodeid.partition("::")[0] for item in items}
     for test, cause in known_failures.items():
         matching = [item for item in items if item.nodeid == test or item.nodeid.startswith(f"{test}[")]
         if not matching and test.partition("::")[0] in files and config.args == config.getini("testpaths"):
-            raise pytest.UsageError(f"KNOWN-RED.txt names no test of this tree: {test}")
+            raise pytest.UsageError(f"KNOWN-RED.txt lists a test that does not exist: {test}")
         for item in matching:
             item.add_marker(pytest.mark.xfail(reason=cause, strict=False))
 
--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -82,7 +82,7 @@
         return client
 
     async def serve(self, client: socket.socket, number: int) -> bytes:
-        """Serve a request; return the data that the endpoint received for it. The connection is idle then."""
+        """Serve a request, which leaves the upstream connection idle; return what the endpoint received."""
         client.sendall(call(number))
         await wait_until(lambda: bool(self.counter.pending))
         self.counter.reply_all()
@@ -94,7 +94,8 @@
         assert (await asyncio.get_running_loop().sock_recv(client, 4096)).startswith(b"$")
         return received
 
-    def cancelled_requests(self) -> int:
+    def disconnected_request_count(self) -> int:
+        """Return how many requests the policy was told have lost their client."""
         return sum(isinstance(event, ClientDisconnected) for event in self.policy.events)
 
 
@@ -184,12 +185,12 @@
         yield from retry_after_pause(event)
 
     async def scenario(gateway: GatewayHarness) -> None:
-        submitted = min(requests, MAX_UNANSWERED)
+        submitted_count = min(requests, MAX_UNANSWERED)
         if closes_on is Request:
             closing.append(gateway.client)
         with gateway.connect() as other:
             gateway.client.sendall(b"".join(call(2 + number) for number in range(requests)))
-            await wait_until(lambda: len(gateway.counter.pending) == submitted)
+            await wait_until(lambda: len(gateway.counter.pending) == submitted_count)
             if closes_on is CounterReply:
                 closing.append(gateway.client)
             gateway.counter.reply_all()
@@ -197,8 +198,9 @@
                 writer, _ = await gateway.endpoint.receive()
                 closing.append(gateway.client)
                 writer.write(b"-ERR failed\r\n")
-            await wait_until(lambda: gateway.cancelled_requests() >= submitted)
-            assert (await gateway.serve(other, 1_000)).count(b"CALL.GET") == 1  # and no attempt before it
+            await wait_until(lambda: gateway.disconnected_request_count() >= submitted_count)
+            # No attempt for the client that closed was received before this one.
+            assert (await gateway.serve(other, 1_000)).count(b"CALL.GET") == 1
 
     run_gateway_scenario(script, scenario)
 
@@ -217,9 +219,10 @@
             gateway.client.sendall(call(2))
             await wait_until(lambda: bool(gateway.counter.pending))
             gateway.counter.reply_all()
-            await wait_until(lambda: gateway.cancelled_requests() == 1)
+            await wait_until(lambda: gateway.disconnected_request_count() == 1)
             upstream.loop = asyncio.get_running_loop()
-            assert (await gateway.serve(other, 3)).count(b"CALL.GET") == 1  # and no attempt before it
+            # No attempt for the client that closed was received before this one.
+            assert (await gateway.serve(other, 3)).count(b"CALL.GET") == 1
 
     run_gateway_scenario(retry_after_pause, scenario)
 
@@ -242,7 +245,7 @@
         await wait_until(lambda: gateway.listener.connections.shutting_down)
         closing.append(gateway.client)
         gateway.counter.reply_all()
-        await wait_until(lambda: gateway.cancelled_requests() == 2)
+        await wait_until(lambda: gateway.disconnected_request_count() == 2)
         await stop
         gateway.upstream.close()
         # The idle connection has ended, and nothing was received before that.
@@ -255,7 +258,8 @@
 def test_unread_commands_of_a_client_that_closed_are_not_submitted(
     monkeypatch: pytest.MonkeyPatch, with_reset: bool
 ) -> None:
-    # They would use quota and might be forwarded: answers make room for them before the next disconnect poll.
+    # Answers make room in the pipeline before the next disconnect poll. Commands submitted then would use
+    # quota and might be forwarded.
     monkeypatch.setattr("rushroad.proxy.disconnect_poller.POLL_INTERVAL_S", 60.0)
 
     async def scenario() -> None:
--- a/tests/integration/test_large_endpoint_list.py
+++ b/tests/integration/test_large_endpoint_list.py
@@ -16,13 +16,15 @@
 
 def test_process_starts_from_97000_endpoints_within_its_memory_limit(tmp_path: Path) -> None:
     with contextlib.ExitStack() as stack:
+        # In place of discovery, the counter and the endpoint, in this order.
         peers = [stack.enter_context(socket.create_server((LOOPBACK, 0))) for _ in range(3)]
-        discovery, counter, endpoint = (peer.getsockname()[1] for peer in peers)
-        document = configuration(discovery, counter, free_port())
+        discovery_port, counter_port, endpoint_port = (peer.getsockname()[1] for peer in peers)
+        document = configuration(discovery_port, counter_port, free_port())
         fields = {"zone": "a", "machineType": "m2", "cell": 3, "weight": 1.0, "startedAtMs": 0}
-        fields["hostPort"] = f"{LOOPBACK}:{endpoint}"
+        fields["hostPort"] = f"{LOOPBACK}:{endpoint_port}"
         entries = [entry | fields for entry in list_entries(ENDPOINTS)]
         cached_snapshot = json.dumps({"generation": 41, "reset": True, "instances": entries}, indent=2)
+        # The cached snapshot replaces this placeholder as text, which keeps its indentation.
         document |= {"known": "KNOWN", "settings": document["settings"] | {"fleetSize": 4_900}}
         process = stack.enter_context(
             running_gateway(tmp_path, json.dumps(document).replace('"KNOWN"', cached_snapshot))
@@ -40,7 +42,7 @@
         watch.sendall(
             RESPONSE_HEAD + chunk(new_snapshot.encode()) + chunk(b"\n" + list_line(43, lifecycle="DRAINING"))
         )
-        watch.close()  # the gateway opens another one when it has decoded all data
+        watch.close()  # the gateway opens another watch when it has decoded all data
         while b"from=43 " not in stack.enter_context(peers[0].accept()[0]).recv(4096):
             pass
         status = Path(f"/proc/{process.pid}/status").read_text()
--- a/tests/integration/test_system_calls.py
+++ b/tests/integration/test_system_calls.py
@@ -84,7 +84,7 @@
     run(scenario)
 
 
-# One in three of these calls fails once the gateway is ready, with an error listed in its manual page.
+# Once the gateway is ready, one in three of these calls fails, with an error from the call's manual page.
 SERVICE_FAULTS = [
     *[
         ("accept", error)
@@ -133,8 +133,8 @@
             assert answers.total() == CLIENTS * REQUESTS_PER_CLIENT
             assert not answers[NO_ANSWER], answers
             # A request may be rejected if no connection to a rate server can be opened for it.
-            served_fraction = 1.0 if system_call not in CONNECTION_CALLS else MIN_SERVED_FRACTION
-            assert answers[SERVED] >= served_fraction * answers.total(), answers
+            min_served_fraction = 1.0 if system_call not in CONNECTION_CALLS else MIN_SERVED_FRACTION
+            assert answers[SERVED] >= min_served_fraction * answers.total(), answers
             assert "the policy did not answer request" not in cluster.log(0)
             assert await cluster.stop() == 0
 
--- a/tests/integration/test_unavailable_peers.py
+++ b/tests/integration/test_unavailable_peers.py
@@ -32,7 +32,7 @@
 
 MAX_SOCKETS = 128
 IDLE_CLIENTS = 400  # more than the process has file descriptors
-UPDATE_DEADLINE_S = 6.0  # a gateway has to know an endpoint update this long after it was sent
+UPDATE_DEADLINE_S = 6.0  # a gateway has to know an endpoint update within this time after it was sent
 
 
 def port_of(peer: socket.socket) -> int:
@@ -61,9 +61,9 @@
         process = stack.enter_context(
             running_gateway(tmp_path, json.dumps(document), f"ulimit -n {MAX_SOCKETS}; {RUN_COMMAND}")
         )
-        watch, first = accept(discovery, process), connect(gateway_port, process)
-        first.sendall(PING)
-        assert first.recv(64) == PONG
+        watch, first_client = accept(discovery, process), connect(gateway_port, process)
+        first_client.sendall(PING)
+        assert first_client.recv(64) == PONG
         counter_connections = [accept(counter, process) for _ in range(2)]
         process.send_signal(signal.SIGSTOP)
         for connection in [watch, *counter_connections]:
--- a/tests/integration/test_wrong_wall_clock.py
+++ b/tests/integration/test_wrong_wall_clock.py
@@ -45,7 +45,7 @@
         await asyncio.sleep(0.01)
 
 
-@pytest.mark.parametrize("reported_by", ["cached list", "delta"])
+@pytest.mark.parametrize("reported_by", ["cached snapshot", "delta"])
 @pytest.mark.parametrize("clock_offset_s", [0, HOUR_S, 20, -HOUR_S])
 def test_just_started_server_is_warming_up_regardless_of_the_wall_clock(
     make_cluster: ClusterFactory, clock_offset_s: int, reported_by: str
@@ -55,7 +55,7 @@
             environments={0: faulty_environment(clock_offset_s=clock_offset_s)}
         ) as cluster:
             warming_up = cluster.rate_servers[0]
-            if reported_by == "cached list":
+            if reported_by == "cached snapshot":
                 warming_up.started_at_ms = int(time.time() * 1e3)
             cluster.start()
             await cluster.wait_until_ready()
--- a/tests/test_deploy_file.py
+++ b/tests/test_deploy_file.py
@@ -1,4 +1,4 @@
-"""The deploy file lists as `policy` all modules that make decisions, with no overlong lines."""
+"""The deploy file lists all modules that make decisions as `policy`; no line of them is too long."""
 
 import tomllib
 from pathlib import Path
--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -6,7 +6,8 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-FORMER_NAMES = ("moth" + "gap", "lynx" + "reel", "fleet" + "bench")  # of packages and programs
+# Former names of packages and programs, split so that this file does not contain them.
+FORMER_NAMES = ("moth" + "gap", "lynx" + "reel", "fleet" + "bench")
 MAX_FILE_LINES = 400
 MAX_FUNCTION_LINES = 40
 PRODUCT_FILES = sorted(path.relative_to(ROOT) for path in (ROOT / "rushroad").rglob("*.py"))
