--- a/tests/support/faults.c
+++ b/tests/support/faults.c
@@ -52,7 +52,8 @@
   return 0;
 }
 
-static int is_inet(int fd) {
+/* Whether this is an IPv4 socket; also 0 if there are no rules. Keeps errno. */
+static int is_ipv4(int fd) {
   int domain = 0;
   socklen_t size = sizeof domain;
   int saved_errno = errno;
@@ -65,11 +66,11 @@
   return domain == AF_INET && fails("socket") ? -1 : REAL(socket)(domain, type, protocol);
 }
 int bind(int fd, const struct sockaddr *a, socklen_t l) {
-  return is_inet(fd) && fails("bind") ? -1 : REAL(bind)(fd, a, l);
+  return is_ipv4(fd) && fails("bind") ? -1 : REAL(bind)(fd, a, l);
 }
-int listen(int fd, int backlog) { return is_inet(fd) && fails("listen") ? -1 : REAL(listen)(fd, backlog); }
+int listen(int fd, int backlog) { return is_ipv4(fd) && fails("listen") ? -1 : REAL(listen)(fd, backlog); }
 int connect(int fd, const struct sockaddr *a, socklen_t l) {
-  return is_inet(fd) && fails("connect") ? -1 : REAL(connect)(fd, a, l);
+  return is_ipv4(fd) && fails("connect") ? -1 : REAL(connect)(fd, a, l);
 }
 int accept4(int fd, struct sockaddr *a, socklen_t *l, int flags) {
   struct pollfd p = {fd, POLLIN, 0};
@@ -77,35 +78,35 @@
   return REAL(accept4)(fd, a, l, flags);
 }
 int accept(int fd, struct sockaddr *a, socklen_t *l) { return accept4(fd, a, l, 0); }
-int shutdown(int fd, int how) { return is_inet(fd) && fails("shutdown") ? -1 : REAL(shutdown)(fd, how); }
+int shutdown(int fd, int how) { return is_ipv4(fd) && fails("shutdown") ? -1 : REAL(shutdown)(fd, how); }
 int setsockopt(int fd, int level, int name, const void *v, socklen_t l) {
-  return is_inet(fd) && fails("setsockopt") ? -1 : REAL(setsockopt)(fd, level, name, v, l);
+  return is_ipv4(fd) && fails("setsockopt") ? -1 : REAL(setsockopt)(fd, level, name, v, l);
 }
 int getsockname(int fd, struct sockaddr *a, socklen_t *l) {
-  return is_inet(fd) && fails("getsockname") ? -1 : REAL(getsockname)(fd, a, l);
+  return is_ipv4(fd) && fails("getsockname") ? -1 : REAL(getsockname)(fd, a, l);
 }
-ssize_t read(int fd, void *b, size_t n) { return is_inet(fd) && fails("read") ? -1 : REAL(read)(fd, b, n); }
+ssize_t read(int fd, void *b, size_t n) { return is_ipv4(fd) && fails("read") ? -1 : REAL(read)(fd, b, n); }
 ssize_t recv(int fd, void *b, size_t n, int f) {
-  return is_inet(fd) && fails("read") ? -1 : REAL(recv)(fd, b, n, f);
+  return is_ipv4(fd) && fails("read") ? -1 : REAL(recv)(fd, b, n, f);
 }
 ssize_t recvmsg(int fd, struct msghdr *m, int f) {
-  return is_inet(fd) && fails("read") ? -1 : REAL(recvmsg)(fd, m, f);
+  return is_ipv4(fd) && fails("read") ? -1 : REAL(recvmsg)(fd, m, f);
 }
 ssize_t write(int fd, const void *b, size_t n) {
-  return is_inet(fd) && fails("write") ? -1 : REAL(write)(fd, b, n);
+  return is_ipv4(fd) && fails("write") ? -1 : REAL(write)(fd, b, n);
 }
 ssize_t writev(int fd, const struct iovec *v, int n) {
-  return is_inet(fd) && fails("write") ? -1 : REAL(writev)(fd, v, n);
+  return is_ipv4(fd) && fails("write") ? -1 : REAL(writev)(fd, v, n);
 }
 ssize_t send(int fd, const void *b, size_t n, int f) {
-  return is_inet(fd) && fails("write") ? -1 : REAL(send)(fd, b, n, f);
+  return is_ipv4(fd) && fails("write") ? -1 : REAL(send)(fd, b, n, f);
 }
 ssize_t sendmsg(int fd, const struct msghdr *m, int f) {
-  return is_inet(fd) && fails("write") ? -1 : REAL(sendmsg)(fd, m, f);
+  return is_ipv4(fd) && fails("write") ? -1 : REAL(sendmsg)(fd, m, f);
 }
 /* Only EPOLL_CTL_ADD allocates memory and can fail for lack of it. */
 int epoll_ctl(int e, int op, int fd, struct epoll_event *v) {
-  return op == EPOLL_CTL_ADD && is_inet(fd) && fails("epoll_ctl") ? -1 : REAL(epoll_ctl)(e, op, fd, v);
+  return op == EPOLL_CTL_ADD && is_ipv4(fd) && fails("epoll_ctl") ? -1 : REAL(epoll_ctl)(e, op, fd, v);
 }
 int epoll_wait(int e, struct epoll_event *v, int n, int t) {
   return fails("epoll_wait") ? -1 : REAL(epoll_wait)(e, v, n, t);
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -86,7 +86,7 @@
 
     def __init__(self) -> None:
         self._totals: dict[int, tuple[float, int]] = {}
-        self.created_count = 0  # counters created, again after expiry included
+        self.created_count = 0  # including those created again after their expiry
 
     def add(self, call: CounterAdd, now: int) -> float:
         """Return the total after this call."""
@@ -126,7 +126,7 @@
     # --- events -----------------------------------------------------------------------------------------
 
     def handle(self, event: Event) -> list[Action]:
-        """Let the gateway handle an event; returns its actions."""
+        """Let the gateway handle an event; return its actions."""
         actions = self.gateway.handle(self.now, event)
         for action in actions:
             self._execute(action)
@@ -164,7 +164,7 @@
         return self.handle(CounterReply(counter_name, result, 1 * MS, total))
 
     def admit(self, **fields: int | float) -> StartAttempt:
-        """Send a request and have the counter admit it; returns its attempt."""
+        """Send a request and have the counter admit it; return its attempt."""
         self.request(**fields)  # type: ignore[arg-type]
         actions = self.counter_reply(1.0) if self.counter_calls else self.actions
         return next(action for action in reversed(actions) if isinstance(action, StartAttempt))
@@ -216,19 +216,22 @@
             due = self._next_due()
             if due is None or due[0] > end:
                 break
-            at, is_attempt, number, attempt = due
-            self.now = max(self.now, at)
+            due_at, is_attempt, token_or_request_id, attempt = due
+            self.now = max(self.now, due_at)
             if is_attempt:
-                self.finish_attempt(number, Result.TIMEOUT, attempt)
+                self.finish_attempt(token_or_request_id, Result.TIMEOUT, attempt)
             else:
-                self.timers.remove((at, number))
-                self.handle(TimerFired(number))
+                self.timers.remove((due_at, token_or_request_id))
+                self.handle(TimerFired(token_or_request_id))
         self.now = end
         self.rules.check_answered_in_time(self.now)
         return self.actions[seen:]
 
     def _next_due(self) -> tuple[int, bool, int, int] | None:
-        """Return the next due timer or attempt timeout: when, whether it is an attempt, and its numbers."""
+        """Return the timer or attempt timeout that is due next.
+
+        The parts are its time, whether it is an attempt, its token or request id, and its attempt number.
+        """
         due = [(at, False, token, 0) for at, token in self.timers]
         due += [
             (tracked.attempts[attempt].times_out_at, True, tracked.request.id, attempt)
@@ -247,10 +250,12 @@
                 self.rules.check_answer(action, action.request_id)
             case CancelAttempt():
                 if action.attempt not in self.requests[action.request_id].attempts:
-                    raise RuleViolationError("cancelled an attempt that was never made")
+                    raise RuleViolationError(
+                        f"request {action.request_id}: cancelled attempt {action.attempt} was never started"
+                    )
             case SetTimer():
                 if action.delay < 0:
-                    raise RuleViolationError("a timer in the past")
+                    raise RuleViolationError(f"timer {action.token} has a negative delay: {action.delay} us")
                 self.timers.append((self.now + max(action.delay, self.settings.tick), action.token))
             case CounterAdd():
                 self.counter_calls.append(action)
--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -19,6 +19,7 @@
 GATEWAY_HOST = "127.91.0.1"  # no other program takes ports on this address, so a free port stays free
 StartGateway = Callable[[str | None], subprocess.Popen[bytes]]  # takes the text of the configuration file
 PROCESS_TIMEOUT_S = 30.0  # an unresponsive process fails the test after this time
+# The settings document, with the names that clients send and the limits of a gateway process.
 NAMED_SETTINGS = {
     **SETTINGS_DOCUMENT,
     "classes": [{**SETTINGS_DOCUMENT["classes"][0], "name": "lookup"}],
@@ -75,25 +76,25 @@
 
 
 def accept(listener: socket.socket, process: subprocess.Popen[bytes]) -> socket.socket:
-    """Accept the process's next connection; fails with the process's output if it has exited."""
+    """Accept the process's next connection; fail with the process's output if it has exited."""
     deadline = time.monotonic() + PROCESS_TIMEOUT_S
     while not select.select([listener], [], [], 0.05)[0]:
         assert process.poll() is None, process.communicate()
-        assert time.monotonic() < deadline, "the gateway does not connect"
+        assert time.monotonic() < deadline, f"the gateway did not connect within {PROCESS_TIMEOUT_S} s"
     connection, _ = listener.accept()
     connection.settimeout(PROCESS_TIMEOUT_S)
     return connection
 
 
 def connect(listen_port: int, process: subprocess.Popen[bytes]) -> socket.socket:
-    """Open a client connection as soon as the process listens; fails if the process has exited."""
+    """Open a client connection as soon as the process listens; fail with its output if it has exited."""
     deadline = time.monotonic() + PROCESS_TIMEOUT_S
     while True:
         assert process.poll() is None, process.communicate()
         try:
             return socket.create_connection((GATEWAY_HOST, listen_port), timeout=PROCESS_TIMEOUT_S)
         except ConnectionRefusedError:
-            assert time.monotonic() < deadline, "the gateway does not listen"
+            assert time.monotonic() < deadline, f"the gateway did not listen within {PROCESS_TIMEOUT_S} s"
 
 
 @contextlib.contextmanager
--- a/tests/support/policy_scenarios.py
+++ b/tests/support/policy_scenarios.py
@@ -32,8 +32,6 @@
 
 
 LARGE_FLEET = replace(SETTINGS, fleet_size=200)
-
-
 LARGE_FLEET_WITHOUT_COUNTER = replace(LARGE_FLEET, counter=None)
 
 
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -36,7 +36,7 @@
     deadline: int
     attempts: dict[int, AttemptRecord] = field(default_factory=dict)  # by number
     in_flight: set[int] = field(default_factory=set)  # numbers of attempts
-    possible_executions: list[AttemptRecord] = field(default_factory=list)
+    possible_executions: list[AttemptRecord] = field(default_factory=list)  # ended, may have been executed
     is_answered: bool = False
 
 
@@ -48,7 +48,8 @@
         self.requests: dict[int, TrackedRequest] = {}
         self.endpoints: dict[str, Endpoint] = {}
         self.unavailable_since: dict[str, int] = {}  # draining or removed endpoints
-        self._ceilings: dict[int, tuple[float, int]] = {}  # units left of this gateway's share, and when
+        # By tenant: units left of this gateway's share of the ceiling, and when they were last updated.
+        self._ceilings: dict[int, tuple[float, int]] = {}
 
     def update_endpoints(self, update: EndpointUpdate, now: int) -> None:
         """Apply an endpoint update."""
@@ -67,10 +68,12 @@
         """Raise if a request has no answer although its deadline and the answer slack have passed."""
         for tracked in self.requests.values():
             if not tracked.is_answered and now > tracked.deadline + self.settings.safety.answer_slack:
-                raise RuleViolationError(f"request {tracked.request.id} got no answer in time")
+                raise RuleViolationError(
+                    f"request {tracked.request.id} has no answer after its deadline and the answer slack"
+                )
 
     def check_answer(self, answer: object, request_id: int) -> None:
-        """Check that a final answer is the only one, and a rejection only if the request is safe to retry."""
+        """Check that a request gets one final answer, and that it is rejected only if it is safe to retry."""
         tracked = self.requests[request_id]
         if tracked.is_answered:
             raise RuleViolationError(f"request {request_id} answered twice")
@@ -80,8 +83,9 @@
         request_class = self._request_class_of(tracked)
         is_keyed = request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
         is_scoped = request_class.deduplication_scope is not DeduplicationScope.ALL
+        # A retry by the client may go to an endpoint outside the deduplication scope.
         if request_class.idempotency is Idempotency.NOT_IDEMPOTENT or (is_keyed and is_scoped):
-            raise RuleViolationError("rejected a request that may have been executed")
+            raise RuleViolationError(f"request {request_id} was rejected although it may have been executed")
 
     def _request_class_of(self, tracked: TrackedRequest) -> RequestClass:
         return self.settings.request_classes[tracked.request.class_index]
@@ -92,12 +96,14 @@
         if tracked.is_answered:
             raise RuleViolationError(f"request {action.request_id} forwarded after its final answer")
         if tracked.in_flight and not limits.hedging_allowed:
-            raise RuleViolationError("two attempts in flight at once")
+            raise RuleViolationError(f"request {action.request_id} has two attempts in flight")
         if len(tracked.attempts) >= limits.max_attempts:
-            raise RuleViolationError("too many attempts")
+            raise RuleViolationError(
+                f"request {action.request_id} has more than {limits.max_attempts} attempts"
+            )
         unavailable_since = self.unavailable_since.get(action.endpoint, now)
         if now > unavailable_since + self.settings.safety.drain_grace:
-            raise RuleViolationError(f"{action.endpoint} is draining or was removed")
+            raise RuleViolationError(f"attempt at {action.endpoint} after its drain grace")
         self._check_possible_executions(tracked, action, now)
         if not tracked.attempts:
             self._check_ceiling(tracked.request, now)
@@ -111,17 +117,23 @@
         in_flight = [tracked.attempts[number] for number in sorted(tracked.in_flight)]
         for attempt in tracked.possible_executions + in_flight:
             if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
-                raise RuleViolationError("a request that may have been executed was forwarded again")
+                raise RuleViolationError(
+                    f"request {action.request_id} may have been executed, but was forwarded again"
+                )
             if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
                 continue
             endpoint, earlier = self.endpoints[action.endpoint], self.endpoints[attempt.endpoint]
-            if not self._share_keys(request_class.deduplication_scope, endpoint, earlier):
-                raise RuleViolationError("a keyed request left its deduplication scope")
+            if not self._is_same_scope(request_class.deduplication_scope, endpoint, earlier):
+                raise RuleViolationError(
+                    f"request {action.request_id} was forwarded outside its deduplication scope"
+                )
             if now - attempt.started_at > request_class.deduplication_window:
-                raise RuleViolationError("a keyed request was forwarded after its deduplication window")
+                raise RuleViolationError(
+                    f"request {action.request_id} was forwarded after its deduplication window"
+                )
 
     @staticmethod
-    def _share_keys(scope: DeduplicationScope, endpoint: Endpoint, earlier: Endpoint) -> bool:
+    def _is_same_scope(scope: DeduplicationScope, endpoint: Endpoint, earlier: Endpoint) -> bool:
         if scope is DeduplicationScope.ALL:
             return True
         if scope is DeduplicationScope.ZONE:
@@ -138,5 +150,7 @@
         refilled = plan.ceiling_rate / request.entry_point_count * (now - updated_at) / SECOND
         units = min(burst, units + refilled) - request.units
         if units < -ROUNDING_TOLERANCE:
-            raise RuleViolationError("over this gateway's share of the ceiling")
+            raise RuleViolationError(
+                f"tenant {request.tenant} is {-units} units over this gateway's share of its ceiling"
+            )
         self._ceilings[request.tenant] = (units, now)
