--- a/tests/integration/test_actual_units.py
+++ b/tests/integration/test_actual_units.py
@@ -28,10 +28,10 @@
                 clients.append(await cluster.connect(number))
             loop = asyncio.get_running_loop()
             started_at, served = loop.time(), 0
-            for request in range(40):
-                client = clients[request % gateways]
-                client.writer.write(request_command(request, 3_000, tenant=9, spread=gateways))
-                served += await client.read_answer() == b"%016x" % request
+            for request_id in range(40):
+                client = clients[request_id % gateways]
+                client.writer.write(request_command(request_id, 3_000, tenant=9, spread=gateways))
+                served += await client.read_answer() == b"%016x" % request_id
             allowed = (BURST + RATE * (loop.time() - started_at)) / ACTUAL_UNITS
             # Each gateway learns the actual units of its last request only afterwards.
             assert 0 < served <= allowed + gateways
--- a/tests/integration/test_arrival_times.py
+++ b/tests/integration/test_arrival_times.py
@@ -25,25 +25,29 @@
             cluster.start()
             await cluster.wait_until_ready()
             client, loop = await cluster.connect(), asyncio.get_running_loop()
-            numbers = range(commands)
+            request_ids = range(commands)
             client.writer.write(
-                b"".join(request_command(number, TIME_REMAINING_MS, tenant=number) for number in numbers)
+                b"".join(
+                    request_command(request_id, TIME_REMAINING_MS, tenant=request_id)
+                    for request_id in request_ids
+                )
             )
             sent_at = loop.time()
-            latencies = []
-            for _ in numbers:
+            latencies_s = []
+            for _ in request_ids:
                 assert await client.read_answer()
-                latencies.append(loop.time() - sent_at)
+                latencies_s.append(loop.time() - sent_at)
             attempts = cluster.attempts()
             assert len(attempts) > 40, len(attempts)
-            excess = [
+            excess_s = [
                 a.received_at + a.time_remaining_ms / 1e3 - sent_at - TIME_REMAINING_MS / 1e3
                 for a in attempts
             ]
-            assert max(excess) <= DEADLINE_SLACK_S + cluster.timing_allowance_s()
+            assert max(excess_s) <= DEADLINE_SLACK_S + cluster.timing_allowance_s()
             if commands <= SMALL_PIPELINE:  # the time to read thousands of commands depends on the machine
                 assert (
-                    max(latencies) <= TIME_REMAINING_MS / 1e3 + ANSWER_SLACK_S + cluster.timing_allowance_s()
+                    max(latencies_s)
+                    <= TIME_REMAINING_MS / 1e3 + ANSWER_SLACK_S + cluster.timing_allowance_s()
                 )
 
     run(scenario)
--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -81,13 +81,13 @@
         client.setblocking(False)
         return client
 
-    async def serve(self, client: socket.socket, number: int) -> bytes:
+    async def serve(self, client: socket.socket, request_id: int) -> bytes:
         """Serve a request, which leaves the upstream connection idle; return what the endpoint received."""
-        client.sendall(call(number))
+        client.sendall(call(request_id))
         await wait_until(lambda: bool(self.counter.pending))
         self.counter.reply_all()
         received = b""
-        while b"%016x" % number not in received:
+        while b"%016x" % request_id not in received:
             writer, data = await self.endpoint.received_chunks.get()
             received += data
         writer.write(OK)
--- a/tests/integration/test_nonblocking_log.py
+++ b/tests/integration/test_nonblocking_log.py
@@ -37,12 +37,12 @@
             await cluster.wait_until_ready()
             client = await cluster.connect()
             cluster.configuration_file(0).write_text("{nope")
-            for request in range(1, LINES):
+            for request_id in range(1, LINES):
                 process.send_signal(signal.SIGHUP)
-                client.writer.write(request_command(request, 2_000))
+                client.writer.write(request_command(request_id, 2_000))
                 async with asyncio.timeout(2.0):
-                    assert await client.read_answer() == b"%016x" % request
-                if request % 20 == 0:
+                    assert await client.read_answer() == b"%016x" % request_id
+                if request_id % 20 == 0:
                     await asyncio.sleep(1.0)  # the log accepts a limited number of lines per second
             log = await read_until(reader, b"dropped")
             assert EXPECTED_LINE in log
--- a/tests/integration/test_system_calls.py
+++ b/tests/integration/test_system_calls.py
@@ -24,11 +24,11 @@
 async def run_client(cluster: GatewayCluster, number: int, answers: Counter[bytes]) -> None:
     """Send the requests of one client, one after another, and count the answers."""
     client = await cluster.connect()
-    for request in range(number * REQUESTS_PER_CLIENT, (number + 1) * REQUESTS_PER_CLIENT):
-        client.writer.write(request_command(request, TIME_REMAINING_MS, tenant=number))
+    for request_id in range(number * REQUESTS_PER_CLIENT, (number + 1) * REQUESTS_PER_CLIENT):
+        client.writer.write(request_command(request_id, TIME_REMAINING_MS, tenant=number))
         async with asyncio.timeout(TIME_REMAINING_MS / 1e3 + 1.0):
             answer = await client.read_answer()
-        answers[SERVED if answer == b"%016x" % request else answer] += 1
+        answers[SERVED if answer == b"%016x" % request_id else answer] += 1
         if answer == NO_ANSWER:
             return
 
@@ -176,8 +176,8 @@
             process = cluster.processes[0]
             process.send_signal(signal.SIGSTOP)
             clients = [await cluster.connect() for _ in range(6)]
-            for number, client in enumerate(clients):
-                client.writer.write(request_command(number, TIME_REMAINING_MS))
+            for request_id, client in enumerate(clients):
+                client.writer.write(request_command(request_id, TIME_REMAINING_MS))
             process.send_signal(signal.SIGTERM)
             switch_file.touch()
             process.send_signal(signal.SIGCONT)
--- a/tests/integration/test_unavailable_peers.py
+++ b/tests/integration/test_unavailable_peers.py
@@ -83,9 +83,9 @@
         assert watch.recv(4096).startswith(b"GET /v1/servers?watch=1&from=41 ")
         send_snapshot(watch, port_of(server))
         client = stack.enter_context(connect(gateway_port, process))
-        numbers, give_up_at = itertools.count(1), time.monotonic() + PROCESS_TIMEOUT_S
+        request_ids, give_up_at = itertools.count(1), time.monotonic() + PROCESS_TIMEOUT_S
         while not select.select([server], [], [], 0)[0]:  # until the new endpoint receives a request
-            client.sendall(call(next(numbers), b"c=lookup,t=basic,d=900,units=1,spread=1,first=0"))
+            client.sendall(call(next(request_ids), b"c=lookup,t=basic,d=900,units=1,spread=1,first=0"))
             assert client.recv(64)
             assert time.monotonic() < give_up_at, (
                 "no request is forwarded to the endpoint of the new snapshot"
--- a/tests/integration/test_wrong_wall_clock.py
+++ b/tests/integration/test_wrong_wall_clock.py
@@ -23,12 +23,12 @@
 QUOTA_SLACK = 3.0  # units above the quota, for one window boundary and concurrent counter calls
 
 
-async def send_requests(client: ClientConnection, numbers: range) -> int:
+async def send_requests(client: ClientConnection, request_ids: range) -> int:
     """Send these requests one after another, each for another tenant; return how many were served."""
     served = 0
-    for number in numbers:
-        client.writer.write(request_command(number, 3_000, tenant=number))
-        served += await client.read_answer() == b"%016x" % number
+    for request_id in request_ids:
+        client.writer.write(request_command(request_id, 3_000, tenant=request_id))
+        served += await client.read_answer() == b"%016x" % request_id
     return served
 
 
@@ -88,12 +88,12 @@
         ) as cluster:
             clients = [await cluster.connect(number) for number in range(3)]
             loop = asyncio.get_running_loop()
-            started_at, served, request = loop.time(), 0, 0
+            started_at, served, request_id = loop.time(), 0, 0
             while loop.time() - started_at < 3.0:
                 for client in clients:
-                    request += 1
-                    client.writer.write(request_command(request, 3_000, tenant=9, spread=3))
-                    served += await client.read_answer() == b"%016x" % request
+                    request_id += 1
+                    client.writer.write(request_command(request_id, 3_000, tenant=9, spread=3))
+                    served += await client.read_answer() == b"%016x" % request_id
             allowed = BURST + RATE * (loop.time() - started_at)
             assert served > BURST / 2
             assert served <= allowed + QUOTA_SLACK, (served, allowed)
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -34,7 +34,7 @@
         text = b"\n" + list_line(42) + b"\n" + list_line(43, lifecycle="DRAINING")
         for part in (text[:50], text[50:]):
             watch.peer.writers[0].write(chunk(part))
-        update, listed = await watch.queue.get()
+        update, listed = await watch.pending_updates.get()
         endpoint = Endpoint(
             "s-1", EndpointState.READY, endpoint_class_index=1, zone=0, cell=3, started_at=5_000, weight=1.0
         )
@@ -172,7 +172,7 @@
         )
         assert (await watch.next_update()).version == 42
         assert b"from=42 " in await watch.next_request()
-        assert watch.queue.empty()
+        assert watch.pending_updates.empty()
 
     run_watch_scenario(scenario)
 
--- a/tests/support/soak_checker.py
+++ b/tests/support/soak_checker.py
@@ -74,9 +74,9 @@
             self._add_violation(f"{request_id!r} was answered {answer!r}")
         self._result.outcomes["served" if answer == request_id else answer.split(b" ")[0].decode()] += 1
         deadline = max(request.sent_at + request.time_remaining_s, request.previous_answered_at)
-        lateness = request.answered_at - deadline
-        if lateness > ANSWER_SLACK_S + self._timing_allowance_s:
-            self._add_violation(f"{request_id!r} answered {lateness:.3f} s after its deadline")
+        lateness_s = request.answered_at - deadline
+        if lateness_s > ANSWER_SLACK_S + self._timing_allowance_s:
+            self._add_violation(f"{request_id!r} answered {lateness_s:.3f} s after its deadline")
 
     def _check_missing_answer(self, request_id: bytes, request: SentRequest, attempted: bool) -> None:
         first = request.first_on_connection
@@ -96,10 +96,10 @@
                 self._add_violation(f"{request_id!r} has two attempts in flight")
         for attempt in attempts:
             deadline = request.sent_at + request.time_remaining_s
-            excess = attempt.received_at + attempt.time_remaining_ms / 1e3 - deadline
-            if excess > DEADLINE_SLACK_S + self._timing_allowance_s:
+            excess_s = attempt.received_at + attempt.time_remaining_ms / 1e3 - deadline
+            if excess_s > DEADLINE_SLACK_S + self._timing_allowance_s:
                 self._add_violation(
-                    f"{request_id!r} forwarded with {excess:.3f} s more than its time remaining"
+                    f"{request_id!r} forwarded with {excess_s:.3f} s more than its time remaining"
                 )
 
     def _check_draining(self, server: RateServer) -> None:
--- a/tests/support/watch.py
+++ b/tests/support/watch.py
@@ -65,7 +65,7 @@
     def __init__(self, peer: Peer, memory_limit: int) -> None:
         loop = asyncio.get_running_loop()
         self.peer = peer
-        self.queue: asyncio.Queue[tuple[EndpointUpdate, list[ListedEndpoint]]] = asyncio.Queue()
+        self.pending_updates: asyncio.Queue[tuple[EndpointUpdate, list[ListedEndpoint]]] = asyncio.Queue()
         self.updates: list[EndpointUpdate] = []
         self.update_iterations: list[int] = []  # event loop iteration of each update
         self.loop_iteration = 0
@@ -84,16 +84,16 @@
         assert update.endpoints == tuple(endpoint for endpoint, _ in listed)
         self.updates.append(update)
         self.update_iterations.append(self.loop_iteration)
-        self.queue.put_nowait((update, listed))
+        self.pending_updates.put_nowait((update, listed))
 
     async def next_update(self) -> EndpointUpdate:
         """Wait for the next update."""
-        return (await self.queue.get())[0]
+        return (await self.pending_updates.get())[0]
 
     async def wait_for_version(self, version: int) -> None:
         """Wait until a list of this version is complete."""
         while self.discovery.version != version:
-            await self.queue.get()
+            await self.pending_updates.get()
             await asyncio.sleep(0)
 
     async def next_request(self) -> bytes:
