--- a/rushroad/policy/tenants.py
+++ b/rushroad/policy/tenants.py
@@ -19,7 +19,7 @@
 IDLE_TIMEOUT = 30 * SECOND  # after which a tenant without open requests may be evicted
 MIN_TENANTS = 64  # table size up to which no tenant is evicted, however long idle
 EVICTION_CHECKS_PER_REQUEST = 2  # tenants checked, the longest idle first
-WINDOW_STAGGER_US = 7919  # between the window boundaries of tenants with consecutive IDs
+WINDOW_STAGGER = 7919  # between the window boundaries of tenants with consecutive IDs
 
 
 class Tenant:
@@ -62,7 +62,7 @@
 
     def create(self, tenant_id: int, plan: Plan, now: int) -> Tenant:
         """Return the initial state of a tenant, without adding it to the table."""
-        window = CounterWindow(window_length(plan), self._call_timeout, tenant_id * WINDOW_STAGGER_US, now)
+        window = CounterWindow(window_length(plan), self._call_timeout, tenant_id * WINDOW_STAGGER, now)
         return Tenant(tenant_id, TenantUsage(plan, window, now), RateCeiling(self._started_at), now)
 
     def _evict_idle(self, current: Tenant, now: int) -> None:
--- a/rushroad/proxy/client_connection.py
+++ b/rushroad/proxy/client_connection.py
@@ -148,7 +148,7 @@
             return
         command.request_id = self._table.engine.submit(command)
         if not command.request_id:
-            # A rate server would treat it as a duplicate of the request in flight with the same id.
+            # A rate server would treat it as a duplicate of the request in flight with the same ID.
             raise InvalidCommandError("the id is taken")
 
     def _update_timeout(self, processed: int, partial: bool) -> None:
--- a/rushroad/proxy/counter_connection.py
+++ b/rushroad/proxy/counter_connection.py
@@ -52,7 +52,7 @@
 
 
 class PipelinedCall:
-    """A call to the counter. It stays queued after a time-out, as replies are matched to calls by order."""
+    """A call to the counter. It stays queued after a timeout, as replies are matched to calls by order."""
 
     __slots__ = ("amount", "command", "finished", "started_at_s", "timer", "total_name")
 
--- a/rushroad/proxy/engine.py
+++ b/rushroad/proxy/engine.py
@@ -1,6 +1,6 @@
 """Passes events to the policy and executes the actions that it returns.
 
-The engine owns the clock, the request ids and the timers; it has no sockets.
+The engine owns the clock, the request IDs and the timers; it has no sockets.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 NETWORK_ALLOWANCE_US = 10_000  # subtracted from the client's deadline, to cover network latency and loop lag
 DEADLINE_GRACE_US = 30_000  # time after a request's deadline in which the policy can still answer it
 
-AttemptKey: TypeAlias = tuple[int, int]  # request id, attempt number
+AttemptKey: TypeAlias = tuple[int, int]  # request ID and attempt number
 
 
 class Backend(Protocol):
@@ -76,7 +76,7 @@
         self._loop = loop
         self._policy = Gateway(settings, seed, self.clock.now_us())
         self._request_ids = itertools.count(1)
-        self._requests: dict[int, InFlightRequest] = {}  # by id, until the policy has processed their end
+        self._requests: dict[int, InFlightRequest] = {}  # by ID, until the policy has processed their end
         self._attempts: dict[AttemptKey, Attempt] = {}  # attempts in flight
         self._call_ids: set[bytes] = set()  # of requests that are unanswered or have attempts in flight
         self._endpoint_updates: deque[EndpointUpdate] = deque()
@@ -86,7 +86,7 @@
     # --- called by the other components of the proxy ------------------------------------------------------
 
     def submit(self, call: Call) -> int:
-        """Accept a request and return its id, or 0 if a request with the same call id is in flight."""
+        """Accept a request and return its ID, or 0 if a request with the same call ID is in flight."""
         if call.id in self._call_ids:
             return 0
         self._call_ids.add(call.id)
@@ -291,9 +291,9 @@
             self.post(ClientDisconnected(request_id))
 
     def _release_call_id(self, request: InFlightRequest) -> None:
-        """Allow the call id to be reused once the request is finished and has no attempt in flight.
+        """Allow the call ID to be reused once the request is finished and has no attempt in flight.
 
-        Until then, an endpoint would treat another request with the same id as a duplicate of this one.
+        Until then, an endpoint would treat another request with the same ID as a duplicate of this one.
         """
         if request.finished and not request.attempts_in_flight:
             self._call_ids.discard(request.call.id)
--- a/rushroad/proxy/in_flight.py
+++ b/rushroad/proxy/in_flight.py
@@ -10,7 +10,7 @@
 class Call(Protocol):
     """A client's request, as seen by the engine and the attempts."""
 
-    id: bytes  # given by the client; not the engine's request id
+    id: bytes  # given by the client; not the engine's request ID
     arrived_at_s: float  # earliest time at which its last byte may have arrived, on the monotonic clock
     class_index: int
     plan_index: int
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -81,7 +81,7 @@
 
 
 def test_id_of_a_request_in_flight_is_refused(run_scenario: RunScenario) -> None:
-    # A rate server would treat it as a duplicate of the request in flight with the same id.
+    # A rate server would treat it as a duplicate of the request in flight with the same ID.
     async def scenario(gateway: ClientSide) -> None:
         gateway.engine.ids_in_flight.add(b"%016x" % 1)
         reader, writer = await gateway.connect()
--- a/tests/proxy/test_endpoint_pool.py
+++ b/tests/proxy/test_endpoint_pool.py
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("abandoned", [1, 2])
 def test_idle_connections_are_closed_after_two_abandoned_attempts_without_data(abandoned: int) -> None:
-    # When a host fails, its connections stay open without traffic, and are reset later. A single time-out is
+    # When a host fails, its connections stay open without traffic, and are reset later. A single timeout is
     # more often a slow response, and a new connection costs the endpoint work.
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         for _ in range(3):
