--- a/rushroad/policy/concurrency_limit.py
+++ b/rushroad/policy/concurrency_limit.py
@@ -79,8 +79,8 @@
         self.pooled: ConcurrencyLimit | None = None
 
     @property
-    def replicas(self) -> float:
-        """Mean number of gateways that share an endpoint."""
+    def mean_replicas(self) -> float:
+        """Mean number of gateways that share an endpoint; until the first snapshot, all gateways."""
         return self._table.mean_replicas or self._fleet_size
 
     def use_pooled_limit(self, now: int) -> None:
@@ -89,7 +89,7 @@
 
     def new_limit(self, now: int) -> ConcurrencyLimit:
         """Return the limit for a newly active endpoint."""
-        return self.pooled or ConcurrencyLimit(INITIAL_LIMIT / self.replicas, now)
+        return self.pooled or ConcurrencyLimit(INITIAL_LIMIT / self.mean_replicas, now)
 
     def abandoned_cutoff(self, now: int) -> int:
         """Return the start time up to which abandoned attempts count as no longer at their endpoints."""
@@ -120,8 +120,8 @@
             objective = request_class.latency_objective if request_class is not None else None
             shows_overload = objective is not None and event.elapsed > LATE_RESPONSE_FRACTION * objective
             if not shows_overload and is_half_used:
-                limit.attempts += INCREASE_STEP / self.replicas / max(1.0, limit.attempts)
+                limit.attempts += INCREASE_STEP / self.mean_replicas / max(1.0, limit.attempts)
         # An attempt that started before the last decrease was subject to the previous, higher limit.
         if shows_overload and started_at >= limit.decreased_at and (is_half_used or not is_pooled):
-            limit.attempts = max(1.0 / self.replicas, limit.attempts * DECREASE_FACTOR)
+            limit.attempts = max(1.0 / self.mean_replicas, limit.attempts * DECREASE_FACTOR)
             limit.decreased_at = now
--- a/rushroad/policy/concurrency_quota.py
+++ b/rushroad/policy/concurrency_quota.py
@@ -87,12 +87,12 @@
         if call.amount < 0 and reply.result is Result.OK and reply.total < -ROUNDING_MARGIN:
             # The total had expired before the slot was returned: the missing amount is added back.
             self._call(call.tenant, min(-call.amount, -reply.total), None)
-        if call.amount <= 0 or call.waiting_request is None:
+        if call.amount <= 0 or call.waiting_request_id is None:
             return None
         if not reply.result.proven_not_executed:
-            self._slots[call.waiting_request] = call.tenant
+            self._slots[call.waiting_request_id] = call.tenant
         if pending is None:
-            self.release(call.waiting_request)  # the client has disconnected
+            self.release(call.waiting_request_id)  # the client has disconnected
             return None
         return self._decide_by_total(reply, pending, now) if pending.awaiting_admission else None
 
@@ -113,6 +113,6 @@
         if tenant is not None and not self._breaker.is_open:
             self._call(tenant, -1.0, None)
 
-    def _call(self, tenant: Tenant, amount: float, waiting_request: int | None) -> None:
-        call = CounterCall(CountedResource.CONCURRENCY, tenant, amount, waiting_request)
+    def _call(self, tenant: Tenant, amount: float, waiting_request_id: int | None) -> None:
+        call = CounterCall(CountedResource.CONCURRENCY, tenant, amount, waiting_request_id)
         self._calls.add(concurrency_total_name(tenant.id), call, SLOT_LIFETIME)
--- a/rushroad/policy/counter_calls.py
+++ b/rushroad/policy/counter_calls.py
@@ -46,7 +46,7 @@
     resource: CountedResource
     tenant: Tenant
     amount: float
-    waiting_request: int | None  # ID of the request whose admission depends on the total
+    waiting_request_id: int | None  # of the request whose admission depends on the total
 
 
 class CounterCalls:
--- a/rushroad/policy/gateway.py
+++ b/rushroad/policy/gateway.py
@@ -211,7 +211,7 @@
 
     def _on_counter_reply(self, reply: CounterReply) -> None:
         call = self.counter_calls.take_oldest(reply.total_name)
-        request_id = call.waiting_request
+        request_id = call.waiting_request_id
         pending = self.pending_requests.get(request_id) if request_id is not None else None
         self.counter_breaker.record(reply, self._now)
         if call.resource is CountedResource.UNITS:
--- a/rushroad/policy/outlier_detection.py
+++ b/rushroad/policy/outlier_detection.py
@@ -90,7 +90,7 @@
     def schedule_probe(self, endpoint: ActiveEndpoint, now: int) -> None:
         """Allow the next probe of an ejected endpoint one probe interval from now."""
         # With a pooled limit, the gateways that share the endpoint keep the interval together.
-        replicas = 1.0 if self._limiter.pooled is None else self._limiter.replicas
+        replicas = 1.0 if self._limiter.pooled is None else self._limiter.mean_replicas
         interval = int(
             min(MAX_PROBE_INTERVAL, PROBE_INTERVAL_RESPONSE_TIMES * replicas * self._typical_latency())
         )
--- a/rushroad/policy/quota.py
+++ b/rushroad/policy/quota.py
@@ -154,12 +154,12 @@
             pending.counted_units = units
         return Admission.ADMIT
 
-    def _call(self, pending: PendingRequest, waiting_request: int | None, units: float, now: int) -> None:
+    def _call(self, pending: PendingRequest, waiting_request_id: int | None, units: float, now: int) -> None:
         """Add units, and those not reported yet, to the tenant's total of this window."""
         tenant = pending.tenant
         tenant.usage.restart_window_if_expired(now)
         amount = units + tenant.usage.take_unreported()
-        call = CounterCall(CountedResource.UNITS, tenant, amount, waiting_request)
+        call = CounterCall(CountedResource.UNITS, tenant, amount, waiting_request_id)
         self._calls.add(units_total_name(tenant.id), call, tenant.usage.window.lifetime(now))
 
     def on_reply(
