--- a/rushroad/simulator/action_records.py
+++ b/rushroad/simulator/action_records.py
@@ -56,7 +56,7 @@
 
 
 _pack_defer = _packer(ActionCode.DEFER, "II")  # delay, token
-_pack_add_to = _packer(ActionCode.ADD_TO, "QfI")  # counter name, amount, lifetime
+_pack_add_to = _packer(ActionCode.ADD_TO, "QfI")  # name of the total, amount, lifetime
 _pack_forward = _packer(ActionCode.FORWARD, "I6sI")  # request id, endpoint, timeout
 _pack_not_now = _packer(ActionCode.NOT_NOW, "II")  # request id, retry after
 _pack_drop_request = _packer(ActionCode.DROP_REQUEST, "I")  # request id
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -82,11 +82,11 @@
 
 
 class CounterTotals:
-    """Named counters; each expires after the lifetime given by its first call."""
+    """Named totals; each expires after the lifetime given by its first call."""
 
     def __init__(self) -> None:
         self._totals: dict[int, tuple[float, int]] = {}
-        self.created_count = 0  # counters created, again after expiry included
+        self.created_count = 0  # totals created, again after expiry included
 
     def add(self, call: CounterAdd, now: int) -> float:
         """Return the total after this call."""
