--- a/tests/policy/test_endpoint_updates.py
+++ b/tests/policy/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Endpoint updates, cached snapshots and failed polls."""
+"""Endpoint updates, cached snapshots and failed calls to the discovery service."""
 
 from dataclasses import replace
 
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -52,8 +52,8 @@
 
 
 def test_retried_request_counts_as_open_once() -> None:
-    # A count too high would keep the tenant in memory and use up its concurrency limit; one too low would let
-    # the tenant exceed that limit.
+    # A count too high would keep the tenant in memory and use up its limit on open requests; one too low
+    # would let the tenant exceed that limit.
     driver = Driver()
     first, second = driver.admit(), driver.admit()
     driver.finish_attempt(first.request_id, Result.ERROR)
