--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -82,7 +82,7 @@
 
 
 class CounterTotals:
-    """Named counters; each expires after the lifetime given by its first call."""
+    """Named totals; each expires after the lifetime given by its first call."""
 
     def __init__(self) -> None:
         self._totals: dict[int, tuple[float, int]] = {}
