--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -34,7 +34,10 @@
 
 
 def retry_after_pause(event: Event) -> Iterator[Action]:
-    """Add to the counter, start an attempt on the reply, and another one after a timer on its failure."""
+    """Add to the counter, start an attempt on the reply, and another one after a timer on its failure.
+
+    The request id is also the counter name and the timer token.
+    """
     match event:
         case Request():
             yield CounterAdd(event.id, 1.0, 1_000)
@@ -51,9 +54,9 @@
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
-        self.pending: list[int] = []
+        self.pending: list[int] = []  # counter names of additions without a reply
 
-    def add(self, counter_name: int, _amount: float, _lifetime: int) -> None:
+    def add(self, counter_name: int, _amount: float, _lifetime_us: int) -> None:
         self.pending.append(counter_name)
 
     def reply_all(self) -> None:
@@ -69,6 +72,7 @@
     def __init__(self, policy: ScriptedPolicy, engine: Engine, endpoint: Peer) -> None:
         loop = asyncio.get_running_loop()
         self.policy, self.endpoint = policy, endpoint
+        # Endpoints close idle connections after 15 s; each side may have 8 connections.
         self.upstream = engine.backend = Upstream(engine, SETTINGS, 15_000_000, 8, loop)
         self.upstream.update_endpoints(endpoint_at(endpoint.port), True)
         self.counter = engine.counter = ManualCounter(engine)
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -10,7 +10,7 @@
 from tests.support.rate_server import Attempt, RateServer
 from tests.support.soak_checker import INCONCLUSIVE, SentRequest, SoakChecker, SoakResult
 
-SEEDS, JOBS = 6, 2
+SEED_COUNT, JOBS = 6, 2
 REQUEST_ID = b"%016x" % 1
 
 
@@ -44,7 +44,7 @@
 
 def test_no_rule_is_broken_under_load_repeated_signals_and_the_earliest_sigkill() -> None:
     async def scenario() -> None:
-        results = await soak(1, SEEDS, JOBS)
+        results = await soak(1, SEED_COUNT, JOBS)
         assert {result.seed: result.violations for result in results if result.violations} == {}
         conclusive = [result for result in results if not result.outcomes[INCONCLUSIVE]]
         assert all(sum(result.outcomes.values()) > 100 for result in conclusive)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -14,9 +14,11 @@
 from rushroad.proxy.resp import encode_array
 
 LOOPBACK = "127.0.0.1"
+# Indexes by name: of request classes, plans, endpoint classes and zones.
 PROXY_SETTINGS = ProxySettings(
     {"lookup": 0, "order": 1}, {"basic": 0}, {"box": 1}, {"room": 0}, idle_timeout=15_000_000
 )
+# `lookup` is called with CALL.GET, `order` with CALL.POST.
 SCHEMA = CommandSchema({b"lookup": 0, b"order": 1}, (False, True), {b"basic": 0}, max_units=4.0, fleet_size=3)
 TENANT = b"00000000000000ab"
 
