--- a/rushroad/bench/real/measurements.py
+++ b/rushroad/bench/real/measurements.py
@@ -61,7 +61,7 @@
 
 
 def _measure_idle(processes: RunningScenario) -> float:
-    """Return the share of a core that a gateway uses without load."""
+    """Return the fraction of a core that a gateway uses without load."""
     seconds, fleet = min(MAX_IDLE_S, processes.scenario.seconds), processes.fleet
     cpu_before = fleet.cpu_seconds()
     fleet.monitor(seconds)
--- a/rushroad/bench/simulated/clients.py
+++ b/rushroad/bench/simulated/clients.py
@@ -13,7 +13,7 @@
 
 GATEWAY_FAILURE_DETECTION_TIME = 2_500 * MILLISECOND  # until clients stop sending to a stopped gateway
 MAX_ENTRY_POINTS = 3  # gateways per tenant
-IDEMPOTENCY_KEY_SHARE = 0.27  # of the requests
+IDEMPOTENCY_KEY_FRACTION = 0.27  # of the requests
 
 
 class SimulatedClients:
@@ -46,7 +46,7 @@
         entry_point_count = min(MAX_ENTRY_POINTS, gateways)
         first_entry_point = (gateway_index - random.randrange(entry_point_count)) % gateways
         tenant = first_entry_point + gateways * random.randrange(self._tenants_per_gateway)
-        class_index = int(random.random() < IDEMPOTENCY_KEY_SHARE)
+        class_index = int(random.random() < IDEMPOTENCY_KEY_FRACTION)
         units = float(random.randint(*UNITS_RANGE))
         deadline = self._simulation.settings.request_classes[class_index].deadline
         return Request(
--- a/rushroad/bench/simulated/module_cost.py
+++ b/rushroad/bench/simulated/module_cost.py
@@ -23,7 +23,7 @@
 from rushroad.policy.events import Endpoint, EndpointState, EndpointUpdate, TimerFired, UpdateKind
 from rushroad.policy.gateway import Gateway
 
-WARM_UP_SHARE = 0.2  # requests sent before the measurement, relative to those measured
+WARM_UP_REQUEST_FRACTION = 0.2  # requests sent before the measurement, relative to those measured
 MAX_OBSERVED_REQUESTS = 100  # for which the examined endpoints are counted
 CHANGED_ENDPOINTS = 100  # each changed in its own message, then all in one
 CPU_LIMIT_CHECK_INTERVAL = SECOND // 10  # in virtual time
@@ -97,7 +97,7 @@
 
 def _measure_requests(fleet: Fleet, requests: int, cpu_limit_s: float) -> _RequestCost:
     gateway, rate = fleet.gateways[0], fleet.size.request_rate
-    fleet.run(int(WARM_UP_SHARE * requests / rate * SECOND))
+    fleet.run(int(WARM_UP_REQUEST_FRACTION * requests / rate * SECOND))
     start_ns, end = gateway.policy_cpu_ns, fleet.simulation.now + int(requests / rate * SECOND)
     before = fleet.request_count()
     while fleet.simulation.now < end and gateway.policy_cpu_ns - start_ns < cpu_limit_s * 1e9:
--- a/rushroad/bench/simulated/rate_server.py
+++ b/rushroad/bench/simulated/rate_server.py
@@ -14,7 +14,7 @@
 MIN_SERVICE_TIME, MAX_SERVICE_TIME = 180 * MILLISECOND, 320 * MILLISECOND  # at speed 1
 CORES = 4  # of a rate server
 CORE_SPEED_RANGES = ((0.85, 1.1), (0.51, 0.69))  # minimum and maximum speed, by endpoint class
-SLOW_CLASS_SHARE = 0.38  # share of rate servers in the second class
+SLOW_CLASS_FRACTION = 0.38  # of the rate servers, in the second class
 MAX_QUEUE_LENGTH = 40  # requests; about 3 s of work
 CELL_SIZE = 8  # rate servers of a zone that share a deduplication scope
 
@@ -51,7 +51,7 @@
         self.zone = number % zones
         self.cell = number // (zones * CELL_SIZE) * zones + self.zone
         self.name = endpoint_name(number)
-        self.endpoint_class_index = int(simulation.random.random() < SLOW_CLASS_SHARE)
+        self.endpoint_class_index = int(simulation.random.random() < SLOW_CLASS_FRACTION)
         self.speed = simulation.random.uniform(*CORE_SPEED_RANGES[self.endpoint_class_index])
         self.started_at = 0  # 0: long before the run
         self.silent = False  # unreachable: attempts get no response
--- a/tests/integration/test_wrong_wall_clock.py
+++ b/tests/integration/test_wrong_wall_clock.py
@@ -17,7 +17,7 @@
 from tests.support.rate_server import RateServer
 
 HOUR_S = 3_600
-MAX_WARMING_UP_SHARE = 0.5  # of the mean attempts of a warm server; a server warming up gets fewer
+MAX_WARMING_UP_FRACTION = 0.5  # of the mean attempts of a warm server; a server warming up gets fewer
 BURST, RATE = 10.0, 1.0  # units, units per second
 PLAN = {"name": "small", "quotaRate": RATE, "mostAtOnce": BURST, "neverOverRate": 0.0}
 QUOTA_SLACK = 3.0  # units above the quota, for one window boundary and concurrent counter calls
@@ -72,7 +72,7 @@
             others = sum(len(server.attempts) for server in serving) - attempts
             warm_mean = others / (len(serving) - 1)
             assert warm_mean > 10
-            assert attempts < MAX_WARMING_UP_SHARE * warm_mean, (attempts, warm_mean)
+            assert attempts < MAX_WARMING_UP_FRACTION * warm_mean, (attempts, warm_mean)
 
     run(scenario)
 
