--- a/rushroad/bench/client_connections.py
+++ b/rushroad/bench/client_connections.py
@@ -35,7 +35,7 @@
         self._pool = pool
         self._buffer = b""
         self.request: ClientRequest | None = None
-        self.has_replied = False  # the gateway may then close it as idle just as a request is sent
+        self.has_answered = False  # the gateway may then close it as idle just as a request is sent
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -48,7 +48,7 @@
         self.transport.write(request.encoded)
 
     def data_received(self, data: bytes) -> None:
-        """Buffer data until the reply is complete, then pass it on."""
+        """Buffer data until the answer is complete, then pass it on."""
         self._buffer += data
         header, separator, value = self._buffer.partition(b"\r\n")
         if not separator:
@@ -56,9 +56,9 @@
         if header[:1] == b"$" and len(value) < int(header[1:]) + 2:
             return
         self._buffer = b""
-        request, self.request, self.has_replied = self.request, None, True
+        request, self.request, self.has_answered = self.request, None, True
         if request is not None:
-            self._pool.handle_reply(request, header, value)
+            self._pool.handle_answer(request, header, value)
         self._pool.release(self)
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
@@ -117,13 +117,13 @@
             self._idle.remove(connection)
         if request is None or request.completed:
             return
-        if connection.has_replied and not request.retried:
+        if connection.has_answered and not request.retried:
             request.retried = True
             self.send(request)
         else:
             self._on_completed(request, Outcome.LOST, 0)
 
-    def handle_reply(self, request: ClientRequest, header: bytes, value: bytes) -> None:
+    def handle_answer(self, request: ClientRequest, header: bytes, value: bytes) -> None:
         """Complete a request. A value holds the id of its request, and the service time in microseconds."""
         if header[:1] == b"$":
             request_id, _, service_time_us = value.rstrip(b"\r\n").partition(b" ")
--- a/rushroad/bench/commands.py
+++ b/rushroad/bench/commands.py
@@ -143,7 +143,7 @@
     SERVED = "served"
     REJECTED = "refused"
     FAILED = "failed"
-    LOST = "lost"  # no reply in time, or the connection failed or was closed
+    LOST = "lost"  # no answer in time, or the connection failed or was closed
     WRONG = "wrong"  # the value is not the one that a rate server made for this request
 
 
--- a/rushroad/bench/load.py
+++ b/rushroad/bench/load.py
@@ -1,6 +1,6 @@
 """Open-loop load generator, a worker process started as `python -m rushroad.bench.load`.
 
-Requests arrive as a Poisson process, independently of the replies, and the latency of a request is measured
+Requests arrive as a Poisson process, independently of the answers, and the latency of a request is measured
 from its scheduled send time. A stalled gateway therefore cannot hide its stall by delaying later requests.
 Times are read from the system's monotonic clock, and a thread schedules the requests, because the clock and
 the timers of the event loop have a resolution of milliseconds.
@@ -36,7 +36,7 @@
 
 MAX_LATENCY_US = 60_000_000  # higher latencies are recorded as this one
 SIGNIFICANT_DIGITS = 3  # precision of the histograms
-REPLY_GRACE_S = 1.0  # after the deadline, before a request without a reply counts as lost
+ANSWER_GRACE_S = 1.0  # after the deadline, before a request without an answer counts as lost
 
 
 class LoadGenerator:
@@ -82,7 +82,7 @@
         )
         encoded = encode_array([b"CALL.GET", b"%016x" % tenant, request_id, parameters.encode()])
         request = ClientRequest(due_at, request_id, encoded)
-        timeout_s = command.deadline_ms / 1e3 + REPLY_GRACE_S
+        timeout_s = command.deadline_ms / 1e3 + ANSWER_GRACE_S
         request.timer = self._loop.call_later(timeout_s, self.complete, request, Outcome.LOST, 0)
         self._pools[gateway].send(request)
 
--- a/rushroad/bench/real/gateway_processes.py
+++ b/rushroad/bench/real/gateway_processes.py
@@ -28,7 +28,7 @@
 RETRY_INTERVAL_S = 0.01  # between connects to a gateway that has just been started
 CHECK_INTERVAL_S = 0.5  # between checks of the processes and their memory
 LOG_TAIL_CHARACTERS = 2_000
-MAX_REPLY_BYTES = 1 << 16
+MAX_ANSWER_BYTES = 1 << 16
 LIBC = ctypes.CDLL(None)
 
 
@@ -132,7 +132,7 @@
                         [b"CALL.GET", b"%016x" % request_number, b"%016x" % request_number, parameters]
                     )
                 )
-                if client.recv(MAX_REPLY_BYTES).startswith(b"$"):
+                if client.recv(MAX_ANSWER_BYTES).startswith(b"$"):
                     return time.monotonic() - self.started_at
                 time.sleep(RETRY_INTERVAL_S)
         return None
--- a/tests/bench/test_load.py
+++ b/tests/bench/test_load.py
@@ -35,7 +35,7 @@
 
 
 async def run_load(command: StartLoad) -> LoadRun:
-    """Run a load against a gateway that chooses its reply by the lowest bits of the request's id."""
+    """Run a load against a gateway that chooses its answer by the lowest bits of the request's id."""
     commands: list[list[bytes]] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -66,7 +66,7 @@
         return LoadRun(await done, commands)
 
 
-def test_each_request_is_counted_under_one_outcome_by_its_reply(start_load: StartLoad) -> None:
+def test_each_request_is_counted_under_one_outcome_by_its_answer(start_load: StartLoad) -> None:
     async def scenario() -> None:
         result, commands = await run_load(start_load)
         assert result.outcomes == {
