--- a/rushroad/bench/commands.py
+++ b/rushroad/bench/commands.py
@@ -71,7 +71,7 @@
 
 
 class CounterMode(Enum):
-    """How a shard of the counter responds to calls."""
+    """How a shard of the counter replies to calls."""
 
     NORMAL = "normal"
     BUSY = "busy"  # rejects every call
--- a/rushroad/bench/stand_ins/counter.py
+++ b/rushroad/bench/stand_ins/counter.py
@@ -19,8 +19,8 @@
 ERROR = b"error\r\n"
 
 
-class CounterAnswer(NamedTuple):
-    """The reply to a call, and the mode of the shard that owns the name."""
+class ShardReply(NamedTuple):
+    """The text of the reply to a call, and the mode of the shard that owns the name."""
 
     mode: CounterMode
     text: bytes
@@ -62,12 +62,12 @@
             self._transport.abort()
 
     def _handle_call(self, line: bytes) -> None:
-        reply, answer = self._replies.reserve(), self._counter.answer(line)
-        if answer.mode is CounterMode.SLOW:
+        pending, reply = self._replies.reserve(), self._counter.execute(line)
+        if reply.mode is CounterMode.SLOW:
             delay_s = self._counter.slow_delay_s
-            self._counter.loop.call_later(delay_s, self._replies.complete, reply, answer.text)
-        elif answer.mode is not CounterMode.DOWN:
-            self._replies.complete(reply, answer.text)
+            self._counter.loop.call_later(delay_s, self._replies.complete, pending, reply.text)
+        elif reply.mode is not CounterMode.DOWN:
+            self._replies.complete(pending, reply.text)
 
 
 class Counter:
@@ -99,29 +99,29 @@
         normal = CounterMode.NORMAL
         self._modes = [mode if shard < shards else normal for shard in range(len(self._modes))]
 
-    def answer(self, line: bytes) -> CounterAnswer:
-        """Execute the call on a line; malformed ones are answered with an error."""
+    def execute(self, line: bytes) -> ShardReply:
+        """Execute the call on a line and return its reply, which is an error if the call is malformed."""
         mode, text = self._handle(line)
         self.stats.bytes_out += len(text)
-        return CounterAnswer(mode, text)
+        return ShardReply(mode, text)
 
-    def _handle(self, line: bytes) -> CounterAnswer:
+    def _handle(self, line: bytes) -> ShardReply:
         if line == b"ping":
             self.stats.pings += 1
-            return CounterAnswer(CounterMode.NORMAL, b"pong\r\n")
+            return ShardReply(CounterMode.NORMAL, b"pong\r\n")
         self.stats.calls += 1
         try:
             command, name, amount_text, lifetime_text = line.split(b" ")
             amount, lifetime_ms = float(amount_text), int(lifetime_text)
         except ValueError:
-            return CounterAnswer(CounterMode.NORMAL, ERROR)
+            return ShardReply(CounterMode.NORMAL, ERROR)
         well_formed = command == b"bump" and 1 <= len(name) <= MAX_NAME_BYTES
         if not well_formed or lifetime_ms < 1 or not abs(amount) <= MAX_AMOUNT:
-            return CounterAnswer(CounterMode.NORMAL, ERROR)
+            return ShardReply(CounterMode.NORMAL, ERROR)
         mode = self._modes[shard_of(name, len(self._modes))]
         if mode is CounterMode.BUSY:
-            return CounterAnswer(mode, b"busy\r\n")
-        return CounterAnswer(mode, b"ok %.7g\r\n" % self._add(name, amount, lifetime_ms))
+            return ShardReply(mode, b"busy\r\n")
+        return ShardReply(mode, b"ok %.7g\r\n" % self._add(name, amount, lifetime_ms))
 
     def _add(self, name: bytes, amount: float, lifetime_ms: int) -> float:
         now = self.loop.time()
--- a/rushroad/bench/stand_ins/discovery.py
+++ b/rushroad/bench/stand_ins/discovery.py
@@ -48,7 +48,7 @@
         self.generation = 1
         self.silent = False
         self.watches: set[Watch] = set()
-        self._pending_watches: list[Watch] = []  # opened while silent, and not answered yet
+        self._pending_watches: list[Watch] = []  # opened while silent, without a response yet
         self._entries = {index: endpoint_entry(index, address(index)) for index in range(rate_servers)}
         self._next_index = rate_servers  # index of the next rate server to be added
         self._draining: deque[int] = deque()  # indices of rate servers, to be removed by the churn
@@ -82,7 +82,7 @@
         return [change for change in self._history if change.generation > generation]
 
     def start_watch(self, watch: Watch) -> None:
-        """Register a new watch, and answer it now or, while silent, when output resumes."""
+        """Register a new watch, and start its response now or, while silent, when output resumes."""
         self.stats.watches += 1
         self.watches.add(watch)
         if self.silent:
--- a/rushroad/bench/stand_ins/rate_servers.py
+++ b/rushroad/bench/stand_ins/rate_servers.py
@@ -77,14 +77,14 @@
             )
 
     def _complete_call(self, reply: PendingReply, request_id: bytes, started_ns: int) -> None:
-        """Reply with the request's id and the service time in microseconds.
+        """Respond with the request's id and the service time in microseconds.
 
         The service time is measured, because the resolution of the loop's timers is coarse.
         """
         value = b"%b %d" % (request_id, (time.monotonic_ns() - started_ns) // 1_000)
         if not self._transport.is_closing():
-            answer = b"*3\r\n$%d\r\n%b\r\n$-1\r\n%b" % (len(value), value, self._rate_servers.load_report())
-            self._replies.complete(reply, answer)
+            response = b"*3\r\n$%d\r\n%b\r\n$-1\r\n%b" % (len(value), value, self._rate_servers.load_report())
+            self._replies.complete(reply, response)
 
 
 class RateServers:
@@ -131,6 +131,6 @@
             self.stats.late_attempts += 1
 
     def load_report(self) -> bytes:
-        """Return the load report of a reply, or null where load reports are disabled."""
+        """Return the load report of a response, or null where load reports are disabled."""
         text = b"inflight=%d" % min(self.stats.open_connections, 4)
         return b"$%d\r\n%b\r\n" % (len(text), text) if self._load_reports else b"$-1\r\n"
--- a/tests/bench/stand_ins/test_rate_servers.py
+++ b/tests/bench/stand_ins/test_rate_servers.py
@@ -50,7 +50,7 @@
         rate_server_address(index, 6379)
 
 
-def test_a_rate_server_replies_in_order_and_counts_attempts(
+def test_a_rate_server_responds_in_order_and_counts_attempts(
     stand_ins: Worker, addresses: StandInAddresses
 ) -> None:
     with connect(addresses.first_rate_server) as gateway:
