--- a/rushroad/bench/simulated/gateway.py
+++ b/rushroad/bench/simulated/gateway.py
@@ -111,7 +111,7 @@
             case CancelAttempt():
                 attempt_id = AttemptId(action.request_id, action.attempt)
                 self._simulation.schedule(
-                    0, self._end_attempt, self.incarnation, attempt_id, Result.CANCELLED
+                    0, self._finish_attempt, self.incarnation, attempt_id, Result.CANCELLED
                 )
             case Reject():
                 self._complete_request(action.request_id, Metric.REJECTED)
@@ -140,12 +140,12 @@
         attempt_id = AttemptId(action.request_id, self.pending[action.request_id])
         self.pending[action.request_id] += 1
         attempt = Attempt(
-            action.endpoint, simulation.now, lambda: self._end_attempt(incarnation, attempt_id, Result.OK)
+            action.endpoint, simulation.now, lambda: self._finish_attempt(incarnation, attempt_id, Result.OK)
         )
         self.in_flight[attempt_id] = attempt
         self._count_attempt(action.endpoint)
         if action.timeout:
-            simulation.schedule(action.timeout, self._end_attempt, incarnation, attempt_id, Result.TIMEOUT)
+            simulation.schedule(action.timeout, self._finish_attempt, incarnation, attempt_id, Result.TIMEOUT)
         simulation.schedule(NETWORK_DELAY, self._deliver_attempt, incarnation, attempt_id, attempt)
 
     def _count_attempt(self, endpoint: str) -> None:
@@ -160,14 +160,14 @@
     def _deliver_attempt(self, incarnation: int, attempt_id: AttemptId, attempt: Attempt) -> None:
         result = self._rate_servers[attempt.endpoint].receive_attempt(attempt)
         if result is not None:
-            self._simulation.schedule(NETWORK_DELAY, self._end_attempt, incarnation, attempt_id, result)
+            self._simulation.schedule(NETWORK_DELAY, self._finish_attempt, incarnation, attempt_id, result)
 
-    def _end_attempt(self, incarnation: int, attempt_id: AttemptId, result: Result) -> None:
-        """End an attempt with its first result; later ones are ignored."""
+    def _finish_attempt(self, incarnation: int, attempt_id: AttemptId, result: Result) -> None:
+        """Finish an attempt with its first result; later ones are ignored."""
         attempt = self.in_flight.pop(attempt_id, None) if incarnation == self.incarnation else None
         if attempt is None:
             return
-        attempt.ended = True
+        attempt.finished = True
         request_id, number = attempt_id
         if result is Result.CONNECT_FAILED:
             self.connected.discard(attempt.endpoint)
--- a/rushroad/bench/simulated/rate_server.py
+++ b/rushroad/bench/simulated/rate_server.py
@@ -31,7 +31,7 @@
     endpoint: str
     sent_at: int
     on_served: Callable[[], None]
-    ended: bool = False  # at the gateway; if still queued, the rate server drops it
+    finished: bool = False  # at the gateway; if still queued, the rate server drops it
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,5 +141,5 @@
             self._simulation.schedule(NETWORK_DELAY, attempt.on_served)
         while self.queue and self.busy_cores < CORES:
             waiting = self.queue.popleft()
-            if waiting is None or not waiting.ended:
+            if waiting is None or not waiting.finished:
                 self._execute(waiting)
--- a/tests/bench/simulated/test_rate_server.py
+++ b/tests/bench/simulated/test_rate_server.py
@@ -73,13 +73,13 @@
     assert len(served) < 30
 
 
-def test_queued_attempt_that_has_ended_at_its_gateway_is_dropped(
+def test_queued_attempt_that_has_finished_at_its_gateway_is_dropped(
     idle_fleet: Fleet, rate_server: SimulatedRateServer
 ) -> None:
     served: list[int] = []
     attempts = numbered_attempts(6, served)
     for each in attempts:
         rate_server.receive_attempt(each)
-    attempts[4].ended = True
+    attempts[4].finished = True
     idle_fleet.run(2 * SECOND)
     assert sorted(served) == [0, 1, 2, 3, 5]
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -37,9 +37,9 @@
 
 
 def recorded_attempt(
-    received_at: float = 10.1, time_remaining_ms: int = 600, ended_at: float = 10.4
+    received_at: float = 10.1, time_remaining_ms: int = 600, finished_at: float = 10.4
 ) -> Attempt:
-    return Attempt("s-0", REQUEST_ID, time_remaining_ms, received_at, ended_at)
+    return Attempt("s-0", REQUEST_ID, time_remaining_ms, received_at, finished_at)
 
 
 def test_no_rule_is_broken_under_load_repeated_signals_and_the_earliest_sigkill() -> None:
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -176,7 +176,7 @@
         attempt: int | None = None,
         load_report: tuple[float, ...] = (),
     ) -> list[Action]:
-        """End an attempt, by default the last one."""
+        """Finish an attempt, by default the last one."""
         tracked = self.requests[request_id]
         number = max(tracked.attempts) if attempt is None else attempt
         record = tracked.attempts[number]
@@ -198,7 +198,7 @@
         return tenant.concurrency.open_requests
 
     def finish_all(self) -> None:
-        """End all attempts in flight successfully."""
+        """Finish all attempts in flight successfully."""
         for tracked in list(self.requests.values()):
             for attempt in sorted(tracked.in_flight):
                 self.finish_attempt(tracked.request.id, Result.OK, attempt)
--- a/tests/support/rate_server.py
+++ b/tests/support/rate_server.py
@@ -22,7 +22,7 @@
     request_id: bytes
     time_remaining_ms: int  # as passed on by the gateway
     received_at: float
-    ended_at: float = math.inf  # when its response was written or its connection closed
+    finished_at: float = math.inf  # when its response was written or its connection closed
 
 
 class _Connection(asyncio.Protocol):
@@ -40,7 +40,7 @@
     def connection_lost(self, _error: Exception | None) -> None:
         self._server.connections.discard(self)
         for attempt in self.in_flight:
-            attempt.ended_at = asyncio.get_running_loop().time()
+            attempt.finished_at = asyncio.get_running_loop().time()
 
     def data_received(self, data: bytes) -> None:
         self._reader.feed(data)
@@ -82,7 +82,7 @@
     def _respond(self, connection: _Connection, reply: PendingReply, attempt: Attempt) -> None:
         if not connection.transport.is_closing():
             connection.in_flight.remove(attempt)
-            attempt.ended_at = asyncio.get_running_loop().time()
+            attempt.finished_at = asyncio.get_running_loop().time()
             value = self.value or attempt.request_id
             response = b"*3\r\n$%d\r\n%b\r\n%b$-1\r\n" % (len(value), value, self.usage_figures)
             connection.replies.complete(reply, response)
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -36,7 +36,7 @@
     deadline: int
     attempts: dict[int, AttemptRecord] = field(default_factory=dict)  # by number
     in_flight: set[int] = field(default_factory=set)  # numbers of attempts
-    possible_executions: list[AttemptRecord] = field(default_factory=list)  # ended, may have been executed
+    possible_executions: list[AttemptRecord] = field(default_factory=list)  # finished, may have been executed
     is_answered: bool = False
 
 
--- a/tests/support/soak_checker.py
+++ b/tests/support/soak_checker.py
@@ -92,7 +92,7 @@
         if EFFECT_BY_CLASS[request.class_name] == "once" and len(attempts) > 1:
             self._add_violation(f"{request_id!r} forwarded {len(attempts)} times")
         for attempt, following in pairwise(attempts):
-            if following.received_at < attempt.ended_at - self._timing_allowance_s:
+            if following.received_at < attempt.finished_at - self._timing_allowance_s:
                 self._add_violation(f"{request_id!r} has two attempts in flight")
         for attempt in attempts:
             deadline = request.sent_at + request.time_remaining_s
