--- a/tests/integration/test_unavailable_peers.py
+++ b/tests/integration/test_unavailable_peers.py
@@ -135,8 +135,8 @@
 def test_unreachable_discovery_is_retried_before_its_updates_have_to_be_known(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # After a watch was refused, reset, answered with an error or silent until its timeout, the next request
-    # follows within MAX_RECONNECT_DELAY_S, regardless of how many have failed.
+    # After a watch was refused or reset, got an error response or was silent until its timeout, the next
+    # request follows within MAX_RECONNECT_DELAY_S, regardless of how many have failed.
     delays: list[float] = []
     sleep = asyncio.sleep
 
--- a/tests/policy/test_concurrency_quota.py
+++ b/tests/policy/test_concurrency_quota.py
@@ -45,7 +45,7 @@
     assert action_names(driver.request()) == ["CounterAdd"]
 
 
-def test_slot_of_a_disconnected_client_is_returned_when_its_attempt_ends() -> None:
+def test_slot_of_a_disconnected_client_is_returned_when_its_attempt_finishes() -> None:
     driver = Driver(CONCURRENCY_LIMITED)
     driver.request()
     driver.disconnect(1)
--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -24,7 +24,7 @@
 def test_reply_gives_its_result_and_total(reply: bytes, result: Result, total: float) -> None:
     async def scenario(client: CounterClient, peer: Peer, replies: RecordedReplies) -> None:
         client.add(0xABC, -2.5, 4_000_001)
-        assert await peer.answer(reply) == b"bump abc -2.500000 4001\r\n"
+        assert await peer.respond(reply) == b"bump abc -2.500000 4001\r\n"
         received = await replies.get()
         assert (received.total_name, received.result, received.total) == (0xABC, result, total)
 
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -27,18 +27,18 @@
 
 def test_new_watch_resumes_from_the_current_version_and_a_list_with_reset_is_a_snapshot() -> None:
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
         watch.peer.writers[0].transport.abort()
         assert (await watch.peer.receive())[1] == b""
-        assert b"from=77 " in await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(90, reset=True)))
+        assert b"from=77 " in await watch.peer.respond(RESPONSE_HEAD + chunk(list_line(90, reset=True)))
         assert (await watch.next_update()).kind is UpdateKind.SNAPSHOT
 
     run_watch_scenario(scenario)
 
 
 @pytest.mark.parametrize(
-    ("reply", "logged"),
+    ("response", "logged"),
     [
         (b"what is this\r\n\r\n", 1),
         (b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n", 1),
@@ -50,10 +50,10 @@
     ],
 )
 def test_response_without_an_endpoint_list_is_followed_by_another_watch(
-    reply: bytes, logged: int, capfd: pytest.CaptureFixture[str]
+    response: bytes, logged: int, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(reply)
+        await watch.peer.respond(response)
         assert b"from=41 " in await watch.next_request()
         assert not watch.updates
 
@@ -76,7 +76,7 @@
             raise KeyError(update.version)
 
         watch.discovery._on_update = fail_on_a_later_part
-        await watch.peer.answer(RESPONSE_HEAD + chunk(long_list()))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(long_list()))
         await watch.next_request()
         watch.peer.writers[-1].write(RESPONSE_HEAD + chunk(list_line(43)))
         await watch.wait_for_version(43)
@@ -95,7 +95,7 @@
 
     async def scenario(watch: WatchHarness) -> None:
         for _ in range(8):
-            await watch.peer.answer(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
+            await watch.peer.respond(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
             assert (await watch.peer.receive())[1] == b""
         writer, _ = await watch.peer.receive()
         writer.write(RESPONSE_HEAD + chunk(list_line(42)))
@@ -118,7 +118,7 @@
     # Updates that a silent watch misses soon count as notified, so another is opened. Those that it still
     # sends are valid.
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(42)))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(list_line(42)))
         await watch.next_update()
         writer, data = await watch.peer.receive()  # the silent watch was not closed before
         assert b"from=42 " in data
@@ -138,7 +138,7 @@
     run_watch_scenario(scenario)
 
 
-def test_unanswered_watch_stays_open_beside_the_next_and_either_may_be_answered() -> None:
+def test_watch_without_a_response_stays_open_beside_the_next_and_either_may_get_one() -> None:
     # After an outage an agent answers at once, possibly on a connection accepted before.
     async def scenario(watch: WatchHarness) -> None:
         first, _ = await watch.peer.receive()
@@ -174,7 +174,7 @@
 
 def test_watch_with_a_response_head_but_no_body_is_not_established() -> None:
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(RESPONSE_HEAD)
+        await watch.peer.respond(RESPONSE_HEAD)
         assert b"from=41 " in await watch.next_request()
         assert watch.discovery._watch is None
 
@@ -187,7 +187,7 @@
     async def scenario(watch: WatchHarness) -> None:
         text = long_list()
         cut = text[: text.index(b'{"instanceId": "s-9000"')].rstrip(b", ")
-        await watch.peer.answer(RESPONSE_HEAD + chunk(cut) + end)
+        await watch.peer.respond(RESPONSE_HEAD + chunk(cut) + end)
         if not end:
             watch.peer.writers[0].close()
         assert b"from=41 " in await watch.next_request()
@@ -200,12 +200,12 @@
 
 def test_older_version_never_overrides_a_newer_one(capfd: pytest.CaptureFixture[str]) -> None:
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(45, lifecycle="DRAINING")))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(list_line(45, lifecycle="DRAINING")))
         assert (await watch.next_update()).endpoints[0].state is EndpointState.DRAINING
         async with Peer() as other:  # an agent with an older version
             watch.discovery.set_address((LOOPBACK, other.port))
             older = chunk(list_line(44, reset=True)) + chunk(list_line(44))
-            await other.answer(RESPONSE_HEAD + older + chunk(list_line(46)))
+            await other.respond(RESPONSE_HEAD + older + chunk(list_line(46)))
             assert (await watch.next_update()).version == 46
             assert watch.discovery.version == 46
             watch.discovery.close()
@@ -218,7 +218,7 @@
 def test_older_long_list_is_ignored() -> None:
     async def scenario(watch: WatchHarness) -> None:
         assert LONG_LIST_VERSION < 60
-        await watch.peer.answer(
+        await watch.peer.respond(
             RESPONSE_HEAD + chunk(list_line(60)) + chunk(long_list()) + chunk(list_line(61))
         )
         await watch.wait_for_version(61)
@@ -234,7 +234,7 @@
         return chunk(text.removesuffix("]}").encode() + end.encode())
 
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(RESPONSE_HEAD + incomplete_list(50, "DRAINING", "\n\n"))
+        await watch.peer.respond(RESPONSE_HEAD + incomplete_list(50, "DRAINING", "\n\n"))
         assert b"from=41 " in await watch.next_request()
         older = incomplete_list(49, "SERVING", "]}\n") + chunk(list_line(49, instanceId="y"))
         watch.peer.writers[-1].write(RESPONSE_HEAD + older)
@@ -274,12 +274,12 @@
 
 def test_address_change_opens_a_watch_at_the_new_address_from_the_current_version() -> None:
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
         async with Peer() as other:
             watch.discovery.set_address((LOOPBACK, other.port))
             watch.discovery.set_address((LOOPBACK, other.port))
-            assert b"from=77 " in await other.answer(RESPONSE_HEAD + chunk(list_line(78)))
+            assert b"from=77 " in await other.respond(RESPONSE_HEAD + chunk(list_line(78)))
             assert (await watch.next_update()).version == 78
             assert (await watch.peer.receive())[1] == b""
             assert len(other.writers) == 1
@@ -292,12 +292,12 @@
     monkeypatch.setattr(discovery_module, "INITIAL_RECONNECT_DELAY_S", 0.01)
 
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(77)))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(list_line(77)))
         await watch.next_update()
         watch.discovery.set_address((LOOPBACK, 1))  # connection refused
         watch.peer.writers[0].write(chunk(list_line(78)))
         assert (await watch.next_update()).version == 78
         watch.discovery.set_address((LOOPBACK, watch.peer.port))
-        assert b"from=78 " in await watch.peer.answer(RESPONSE_HEAD)
+        assert b"from=78 " in await watch.peer.respond(RESPONSE_HEAD)
 
     run_watch_scenario(scenario)
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -29,7 +29,7 @@
 
 def test_lists_are_decoded_however_their_lines_are_split_into_chunks() -> None:
     async def scenario(watch: WatchHarness) -> None:
-        data = await watch.peer.answer(RESPONSE_HEAD)
+        data = await watch.peer.respond(RESPONSE_HEAD)
         assert data.startswith(b"GET /v1/servers?watch=1&from=41 HTTP/1.1\r\nHost: ")
         text = b"\n" + list_line(42) + b"\n" + list_line(43, lifecycle="DRAINING")
         for part in (text[:50], text[50:]):
@@ -50,7 +50,7 @@
 def test_long_list_is_decoded_in_parts_in_separate_loop_iterations(reset: bool, indent: int | None) -> None:
     async def scenario(watch: WatchHarness) -> None:
         watch.count_loop_iterations()
-        await watch.peer.answer(RESPONSE_HEAD + chunk(long_list(reset=reset, indent=indent)))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(long_list(reset=reset, indent=indent)))
         await watch.wait_for_version(LONG_LIST_VERSION)
         updates = watch.updates
         assert watch.endpoint_names() == [f"s-{n}" for n in range(LONG_LIST_SIZE)]
@@ -79,7 +79,7 @@
 def test_many_short_lists_received_at_once_are_decoded_in_separate_loop_iterations() -> None:
     async def scenario(watch: WatchHarness) -> None:
         watch.count_loop_iterations()
-        await watch.peer.answer(RESPONSE_HEAD + chunk(b"".join(list_line(42 + n) for n in range(100))))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(b"".join(list_line(42 + n) for n in range(100))))
         await watch.wait_for_version(141)
         assert len(set(watch.update_iterations)) == len(watch.update_iterations) == 100
 
@@ -99,7 +99,7 @@
             return run
 
         monkeypatch.setattr(JsonSplitter, "next_run", record_iteration)
-        await watch.peer.answer(RESPONSE_HEAD + chunk(text[:-20]))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(text[:-20]))
         while len(run_iterations) < len(text) // MAX_RUN_BYTES:
             await asyncio.sleep(0)
         assert len(set(run_iterations)) == len(run_iterations)  # separate iterations of the event loop
@@ -125,7 +125,7 @@
     text: bytes, min_reported: int, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(RESPONSE_HEAD + chunk(text))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(text))
         assert b"from=41 " in await watch.next_request()
         assert (len(watch.endpoint_names()) > min_reported) is (min_reported > 0)
         assert len(watch.endpoint_names()) < LONG_LIST_SIZE / 2
@@ -140,7 +140,7 @@
 @pytest.mark.parametrize("text", [INDENTED, b"\r\n" + INDENTED.replace(b"\n", b"\r\n"), INDENTED.strip()])
 def test_list_may_be_indented_and_split_into_chunks(text: bytes, chunk_size: int) -> None:
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(RESPONSE_HEAD)
+        await watch.peer.respond(RESPONSE_HEAD)
         for start in range(0, len(text), chunk_size):
             watch.peer.writers[0].write(chunk(text[start : start + chunk_size]))
             await asyncio.sleep(0)
@@ -157,7 +157,7 @@
 )
 def test_lists_received_at_once_are_all_decoded(text: bytes) -> None:
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(RESPONSE_HEAD + chunk(text))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(text))
         assert [(await watch.next_update()).version for _ in range(2)] == [42, 43]
 
     run_watch_scenario(scenario)
@@ -167,7 +167,7 @@
 def test_list_that_is_cut_off_within_an_entry_ends_the_watch(rest: bytes) -> None:
     # Otherwise the text that follows would be taken for its rest, while heartbeats keep the watch open.
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(
+        await watch.peer.respond(
             RESPONSE_HEAD + chunk(list_line(42)) + chunk(CUT_OFF.rstrip(b" ")) + chunk(rest)
         )
         assert (await watch.next_update()).version == 42
@@ -197,7 +197,7 @@
     # If accepted, it would remove all endpoints, or make all later updates look old.
     async def scenario(watch: WatchHarness) -> None:
         text = json.dumps(json.loads(list_line(42)) | fields).encode() + b"\n"
-        await watch.peer.answer(RESPONSE_HEAD + chunk(text))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(text))
         assert b"from=41 " in await watch.next_request()
         assert not watch.updates
 
@@ -212,7 +212,7 @@
     lifecycle: str, fields: dict[str, Any]
 ) -> None:
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(44, lifecycle=lifecycle, **fields)))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(list_line(44, lifecycle=lifecycle, **fields)))
         (endpoint,) = (await watch.next_update()).endpoints
         assert (endpoint.name, endpoint.state) == ("s-1", ENDPOINT_STATES[lifecycle])
 
@@ -221,7 +221,7 @@
 
 def test_removed_endpoint_needs_no_address() -> None:
     async def scenario(watch: WatchHarness) -> None:
-        await watch.peer.answer(RESPONSE_HEAD + chunk(list_line(44, lifecycle="DELETED", hostPort="")))
+        await watch.peer.respond(RESPONSE_HEAD + chunk(list_line(44, lifecycle="DELETED", hostPort="")))
         assert (await watch.next_update()).endpoints[0].state is EndpointState.REMOVED
 
     run_watch_scenario(scenario)
@@ -248,7 +248,7 @@
     async def scenario(watch: WatchHarness) -> None:
         text = json.loads(list_line(44))
         text["instances"] += [text["instances"][0] | {"instanceId": "s-2"} | fields, 3]
-        await watch.peer.answer(
+        await watch.peer.respond(
             RESPONSE_HEAD + chunk(json.dumps(text).encode() + b"\n") + chunk(list_line(45))
         )
         for _ in range(2):
--- a/tests/proxy/test_endpoint_pool.py
+++ b/tests/proxy/test_endpoint_pool.py
@@ -51,7 +51,7 @@
 def test_idle_connection_closes_before_the_endpoint_closes_it() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
-        await peer.answer(OK)
+        await peer.respond(OK)
         await harness.next_result()
         now = harness.upstream.loop.time()
         # The endpoint closes idle connections after 60 s, the gateway after half of that.
@@ -82,7 +82,7 @@
 def test_idle_connections_are_closed_when_their_endpoint_restarts() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
-        await peer.answer(OK)
+        await peer.respond(OK)
         await harness.next_result()
         harness.upstream.update_endpoints(endpoint_at(peer.port, started_at=7), False)
         assert (await peer.receive())[1] == b""
@@ -130,7 +130,7 @@
     run_upstream_scenario(scenario)
 
 
-def test_idle_connections_stay_open_after_one_slow_response_of_an_endpoint_that_answers_others() -> None:
+def test_idle_connections_stay_open_after_one_slow_response_of_an_endpoint_that_responds_to_others() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
         first, _ = await peer.receive()
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -117,7 +117,7 @@
     async def scenario(gateway: EngineHarness) -> None:
         reader, writer = gateway.reader, gateway.writer
         writer.write(call(1))
-        data = await gateway.endpoint.answer(OK)
+        data = await gateway.endpoint.respond(OK)
         deadline = re.search(rb",d=(\d+),", data)
         assert deadline is not None
         assert 0 < int(deadline[1]) <= 890  # the client's deadline, which is shorter than the timeout
@@ -142,7 +142,7 @@
         reader, writer = gateway.reader, gateway.writer
         writer.write(call(1) + call(2))
         assert await reader.readline() == b"-ERR failed\r\n"
-        await gateway.endpoint.answer(OK)
+        await gateway.endpoint.respond(OK)
         assert await reader.readexactly(11) == b"$5\r\nvalue\r\n"
 
     events = run_engine_scenario(script, scenario)
@@ -370,7 +370,7 @@
         while not isinstance(gateway.policy.events[-1], AttemptFinished):
             await asyncio.sleep(0.001)
         writer.write(call(1))
-        await gateway.endpoint.answer(OK)
+        await gateway.endpoint.respond(OK)
         assert await reader.readexactly(11) == b"$5\r\nvalue\r\n"
 
     run_engine_scenario(script, scenario)
@@ -382,7 +382,7 @@
 ) -> None:
     async def scenario(gateway: EngineHarness) -> None:
         gateway.writer.write(call(1, b"c=lookup,t=basic,d=999999999"))
-        await gateway.endpoint.answer(OK)
+        await gateway.endpoint.respond(OK)
         assert await gateway.reader.readexactly(11) == b"$5\r\nvalue\r\n"
 
     request = run_engine_scenario(start_attempt, scenario)[0]
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -29,7 +29,7 @@
 def test_timed_out_attempt_closes_its_connection() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
-        await peer.answer(OK)  # the connection is established, so the timeout can't occur while connecting
+        await peer.respond(OK)  # the connection is established, so the timeout can't occur while connecting
         await harness.next_result()
         harness.send(timeout_us=20_000)
         assert (await peer.receive())[1] != b""
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -27,7 +27,7 @@
 def test_connection_is_closed_after_a_malformed_unknown_or_duplicate_response(response: bytes) -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
-        await peer.answer(response)
+        await peer.respond(response)
         await harness.next_result()
         assert (await peer.receive())[1] == b""
 
@@ -37,7 +37,7 @@
 def test_idle_connection_is_closed_when_data_arrives() -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
-        await peer.answer(OK)
+        await peer.respond(OK)
         await harness.next_result()
         peer.writers[0].write(b"+hello\r\n")
         assert (await peer.receive())[1] == b""
@@ -73,7 +73,7 @@
     # idempotent could not be retried although it was never sent.
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
-        await peer.answer(OK)
+        await peer.respond(OK)
         await harness.next_result()
         for transport in harness.transports():
             transport.close()
--- a/tests/proxy/test_upstream_endpoint_lists.py
+++ b/tests/proxy/test_upstream_endpoint_lists.py
@@ -51,8 +51,8 @@
     async def result(self) -> Result:
         return (await self.engine.outcomes.get())[1]
 
-    async def send_and_answer(self, number: int) -> asyncio.StreamWriter:
-        """Send an attempt and answer it; return the peer's side of its connection."""
+    async def send_and_respond(self, number: int) -> asyncio.StreamWriter:
+        """Send an attempt and respond to it; return the peer's side of its connection."""
         self.send(number)
         while not (received := await self.peer.receive())[1]:
             pass
@@ -73,13 +73,13 @@
     async def scenario(sender: Sender) -> None:
         sender.update(range(LONG_LIST_SIZE), True)
         assert not sender.upstream._pools
-        await sender.send_and_answer(7)
+        await sender.send_and_respond(7)
         assert list(sender.upstream._pools) == ["s-7"]
         sender.upstream.close_idle(sender.upstream.loop.time() + 60.0)
         assert (await sender.peer.receive())[1] == b""
         sender.upstream._sweep_idle()
         assert not sender.upstream._pools
-        await sender.send_and_answer(7)
+        await sender.send_and_respond(7)
 
     run_sender_scenario(scenario)
 
@@ -87,16 +87,16 @@
 def test_snapshot_in_parts_removes_unnamed_endpoints_only_after_its_last_part() -> None:
     async def scenario(sender: Sender) -> None:
         sender.update(range(LONG_LIST_SIZE), True)
-        await sender.send_and_answer(7)
+        await sender.send_and_respond(7)
         sender.update(range(7), True, is_last_part=False)  # never completed
         sender.update(range(8, 100), True, is_last_part=False)  # a new snapshot
         sender.update(range(100, LONG_LIST_SIZE), True, is_first_part=False, is_last_part=False)
-        await sender.send_and_answer(7)
+        await sender.send_and_respond(7)
         sender.update(range(0), True, is_first_part=False)
         assert (await sender.peer.receive())[1] == b""  # the idle connection of s-7
         sender.send(7)
         assert await sender.result() is Result.CONNECT_FAILED
-        await sender.send_and_answer(LONG_LIST_SIZE - 1)
+        await sender.send_and_respond(LONG_LIST_SIZE - 1)
 
     run_sender_scenario(scenario)
 
@@ -104,12 +104,12 @@
 def test_at_the_connection_limit_the_longest_idle_connection_is_closed_for_a_new_one() -> None:
     async def scenario(sender: Sender) -> None:
         sender.update(range(4), True)
-        first, second = await sender.send_and_answer(0), await sender.send_and_answer(1)
-        assert await sender.send_and_answer(0) is first
-        third = await sender.send_and_answer(2)  # replaces the second
-        assert await sender.send_and_answer(0) is first
-        assert await sender.send_and_answer(2) is third
-        assert await sender.send_and_answer(1) is not second
+        first, second = await sender.send_and_respond(0), await sender.send_and_respond(1)
+        assert await sender.send_and_respond(0) is first
+        third = await sender.send_and_respond(2)  # replaces the second
+        assert await sender.send_and_respond(0) is first
+        assert await sender.send_and_respond(2) is third
+        assert await sender.send_and_respond(1) is not second
         sender.update(range(4), False, state=EndpointState.REMOVED)
         assert sender.upstream.connection_limit.open_count == 0
         assert not sender.upstream.connection_limit.idle
@@ -144,7 +144,7 @@
             watch.discovery._on_update = remove
             entries = [{"instanceId": f"s-{n}", "lifecycle": "DELETED"} for n in range(removed_count)]
             text = json.dumps({"generation": 50, "reset": False, "instances": entries}).encode()
-            await watch.peer.answer(RESPONSE_HEAD + chunk(text))
+            await watch.peer.respond(RESPONSE_HEAD + chunk(text))
             while watch.discovery.version != 50 or sender.attempt_count < 100:
                 sender.send(rng.randrange(removed_count))  # some endpoints are removed while connecting
                 await asyncio.sleep(0)
@@ -158,7 +158,7 @@
             assert results.count(Result.CONNECT_FAILED) >= removed_count // 100
             assert max(len(update.endpoints) for update in watch.updates) <= MAX_ENDPOINTS_PER_PART
             assert len(set(watch.update_iterations)) == len(watch.updates)
-            await sender.send_and_answer(removed_count)
+            await sender.send_and_respond(removed_count)
             sender.upstream.close()
 
     monkeypatch.setattr(UpstreamConnection, "send", record_send)
--- a/tests/proxy/test_upstream_response.py
+++ b/tests/proxy/test_upstream_response.py
@@ -46,7 +46,7 @@
 ) -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
-        await peer.answer(response)
+        await peer.respond(response)
         assert (await harness.engine.outcomes.get())[1:] == expected
 
     run_upstream_scenario(scenario)
@@ -69,7 +69,7 @@
 def test_usage_figures_are_decoded_into_actual_units_or_none(usage: bytes, units: float | None) -> None:
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send()
-        await peer.answer(b"*3\r\n$5\r\nvalue\r\n$%d\r\n%b\r\n$-1\r\n" % (len(usage), usage))
+        await peer.respond(b"*3\r\n$5\r\nvalue\r\n$%d\r\n%b\r\n$-1\r\n" % (len(usage), usage))
         await harness.engine.outcomes.get()
         assert harness.engine.actual_units == [units]
         harness.upstream.close()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -76,10 +76,10 @@
             data += (await self.received_chunks.get())[1]
         return writer, data
 
-    async def answer(self, reply: bytes) -> bytes:
-        """Receive a command, send a reply and return the command."""
+    async def respond(self, response: bytes) -> bytes:
+        """Receive a command, send a response and return the command."""
         writer, data = await self.receive()
-        writer.write(reply)
+        writer.write(response)
         return data
 
     async def __aexit__(self, *_: object) -> None:
