--- a/rushroad/bench/client_connections.py
+++ b/rushroad/bench/client_connections.py
@@ -14,7 +14,7 @@
 class ClientRequest:
     """A request. `due_at` is its scheduled send time, in seconds of the monotonic clock.
 
-    `encoded` is the command as it is sent, and `id` the value of its request id.
+    `encoded` is the command as it is sent, and `id` the value of its request ID.
     """
 
     __slots__ = ("completed", "due_at", "encoded", "id", "retried", "timer")
@@ -124,7 +124,7 @@
             self._on_completed(request, Outcome.LOST, 0)
 
     def handle_answer(self, request: ClientRequest, header: bytes, value: bytes) -> None:
-        """Complete a request. A value holds the id of its request, and the service time in microseconds."""
+        """Complete a request. A value holds the ID of its request, and the service time in microseconds."""
         if header[:1] == b"$":
             request_id, _, service_time_us = value.rstrip(b"\r\n").partition(b" ")
             outcome = Outcome.SERVED if request_id == request.id else Outcome.WRONG
--- a/rushroad/bench/simulated/gateway.py
+++ b/rushroad/bench/simulated/gateway.py
@@ -56,7 +56,7 @@
         self.changed_endpoints: dict[str, Endpoint] = {}  # by name, since the start of the run
         self.stopped_at: int | None = None  # None while running
         self.in_flight: dict[AttemptId, Attempt] = {}
-        self.pending: dict[int, int] = {}  # attempts so far, by id of unanswered request
+        self.pending: dict[int, int] = {}  # attempts so far, by ID of unanswered request
         self.connected: set[str] = set()  # names of endpoints with a connection
         self.start()
 
--- a/rushroad/bench/stand_ins/rate_servers.py
+++ b/rushroad/bench/stand_ins/rate_servers.py
@@ -77,7 +77,7 @@
             )
 
     def _complete_call(self, reply: PendingReply, request_id: bytes, started_ns: int) -> None:
-        """Respond with the request's id and the service time in microseconds.
+        """Respond with the request's ID and the service time in microseconds.
 
         The service time is measured, because the resolution of the loop's timers is coarse.
         """
--- a/rushroad/simulator/action_records.py
+++ b/rushroad/simulator/action_records.py
@@ -57,10 +57,10 @@
 
 _pack_defer = _packer(ActionCode.DEFER, "II")  # delay, token
 _pack_add_to = _packer(ActionCode.ADD_TO, "QfI")  # name of the total, amount, lifetime
-_pack_forward = _packer(ActionCode.FORWARD, "I6sI")  # request id, endpoint, timeout
-_pack_not_now = _packer(ActionCode.NOT_NOW, "II")  # request id, retry after
-_pack_drop_request = _packer(ActionCode.DROP_REQUEST, "I")  # request id
-_pack_abandon = _packer(ActionCode.ABANDON, "IH")  # request id, attempt
+_pack_forward = _packer(ActionCode.FORWARD, "I6sI")  # request ID, endpoint, timeout
+_pack_not_now = _packer(ActionCode.NOT_NOW, "II")  # request ID, retry after
+_pack_drop_request = _packer(ActionCode.DROP_REQUEST, "I")  # request ID
+_pack_abandon = _packer(ActionCode.ABANDON, "IH")  # request ID, attempt
 _pack_health_check = _packer(ActionCode.HEALTH_CHECK, "6s")  # endpoint
 _pack_hang_up = _packer(ActionCode.HANG_UP, "6s")  # endpoint
 _pack_notify = _packer(ActionCode.NOTIFY, "HH")  # recipient, length of the data that follows
--- a/tests/bench/stand_ins/test_rate_servers.py
+++ b/tests/bench/stand_ins/test_rate_servers.py
@@ -59,7 +59,7 @@
         gateway.sendall(encode_array(arguments) + encode_array([b"PING"]) + encode_array([b"CALL.GET"]))
         items = read_until(gateway, b"-SYNTAX\r\n").split(b"\r\n")
         assert items[0] == b"*3"
-        assert items[2].startswith(b"%016x " % 9)  # the request's id, then the service time
+        assert items[2].startswith(b"%016x " % 9)  # the request's ID, then the service time
         assert items[3:] == [b"$-1", b"$10", b"inflight=1", b"+PONG", b"-SYNTAX", b""]
         stats = stand_ins.call(GetStats(), StandInStats).rate_servers
         assert stats == RateServerStats(attempts=1, connects=1, open_connections=1, syntax_errors=1)
--- a/tests/bench/test_load.py
+++ b/tests/bench/test_load.py
@@ -35,7 +35,7 @@
 
 
 async def run_load(command: StartLoad) -> LoadRun:
-    """Run a load against a gateway that chooses its answer by the lowest bits of the request's id."""
+    """Run a load against a gateway that chooses its answer by the lowest bits of the request's ID."""
     commands: list[list[bytes]] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,7 +12,7 @@
 
 
 def read_known_failures() -> dict[str, str]:
-    """Return the cause and issue of each known failure, by test id."""
+    """Return the cause and issue of each known failure, by test ID."""
     if not KNOWN_FAILURES_FILE.exists():
         return {}
     lines = [line.partition(" | ") for line in KNOWN_FAILURES_FILE.read_text().splitlines() if line.strip()]
--- a/tests/integration/soak.py
+++ b/tests/integration/soak.py
@@ -71,7 +71,7 @@
         self._random = Random(seed)
         self._deadline_s = self._random.choice([0.6, 1.0, 2.0, 3.0, 10.0])
         self._connections_limited = self._random.random() < 0.25
-        self._requests: dict[bytes, SentRequest] = {}  # by id
+        self._requests: dict[bytes, SentRequest] = {}  # by ID
         self._is_stopped = False  # if true, clients send no more requests
 
     async def execute(self) -> None:
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -352,7 +352,7 @@
 
 
 def test_call_id_stays_in_use_while_an_attempt_is_in_flight(run_engine_scenario: RunEngineScenario) -> None:
-    # A rate server would treat another request with the same id as a duplicate of the one in flight.
+    # A rate server would treat another request with the same ID as a duplicate of the one in flight.
     def script(event: Event) -> Iterator[Action]:
         yield from start_attempt(event)
         if isinstance(event, TimerFired):
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -56,7 +56,7 @@
     def send(
         self, timeout_us: int = LONG_TIMEOUT_US, size: int = 10, class_index: int = IDEMPOTENT
     ) -> Attempt:
-        """Start an attempt of a new request; request ids count from 1."""
+        """Start an attempt of a new request; request IDs count from 1."""
         self.attempt_count += 1
         request = request_in_flight(size, class_index)
         attempt = Attempt(self.attempt_count, 0, "s-1", request, self.engine.clock.now_us())
@@ -70,7 +70,7 @@
         return [transport for transport in transports if transport is not None]
 
     async def next_result(self) -> tuple[int, Result]:
-        """Wait for the next attempt to finish; return its request id and its result."""
+        """Wait for the next attempt to finish; return its request ID and its result."""
         return (await self.engine.outcomes.get())[:2]
 
 
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -115,7 +115,7 @@
 
     @property
     def requests(self) -> dict[int, TrackedRequest]:
-        """All requests so far, by id."""
+        """All requests so far, by ID."""
         return self.rules.requests
 
     @property
@@ -230,7 +230,7 @@
     def _next_due(self) -> tuple[int, bool, int, int] | None:
         """Return the timer or attempt timeout that is due next.
 
-        The parts are its time, whether it is an attempt, its token or request id, and its attempt number.
+        The parts are its time, whether it is an attempt, its token or request ID, and its attempt number.
         """
         due = [(at, False, token, 0) for at, token in self.timers]
         due += [
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -93,10 +93,10 @@
 
     def __init__(self) -> None:
         self.clock = Clock()
-        # Of each finished attempt: its request id, its result, the value and the load report in the response.
+        # Of each finished attempt: its request ID, its result, the value and the load report in the response.
         self.outcomes: asyncio.Queue[tuple[int, Result, bytes, tuple[float, ...]]] = asyncio.Queue()
         self.calls: asyncio.Queue[Any] = asyncio.Queue()  # submitted by client connections
-        self.disconnected: asyncio.Queue[int] = asyncio.Queue()  # request ids
+        self.disconnected: asyncio.Queue[int] = asyncio.Queue()  # request IDs
         self.ids_in_flight: set[bytes] = set()
         self.actual_units: list[float | None] = []
         self.unanswered: list[Any] = []  # failed by `answer_all`
--- a/tests/support/rate_server.py
+++ b/tests/support/rate_server.py
@@ -49,13 +49,13 @@
 
 
 class RateServer:
-    """Responds to each request with its id after `service_time_s`; not at all while it hangs."""
+    """Responds to each request with its ID after `service_time_s`; not at all while it hangs."""
 
     def __init__(self, name: str, service_time_s: float) -> None:
         self.name, self.service_time_s, self.hangs = name, service_time_s, False
         self.started_at_ms, self.lifecycle = 0, "SERVING"
         self.draining_since = math.inf  # when discovery published the draining state
-        self.value = b""  # of each response; the request's id if empty
+        self.value = b""  # of each response; the request's ID if empty
         self.usage_figures = b"$-1\r\n"  # of each response, encoded
         self.attempts: list[Attempt] = []
         self.connections: set[_Connection] = set()
--- a/tests/support/soak_checker.py
+++ b/tests/support/soak_checker.py
@@ -55,7 +55,7 @@
         self._connections_limited = connections_limited
 
     def check(self, requests: dict[bytes, SentRequest], cluster: GatewayCluster) -> None:
-        """Check all requests of a run, given by id, and all rate servers."""
+        """Check all requests of a run, given by ID, and all rate servers."""
         attempts = defaultdict[bytes, list[Attempt]](list)
         for attempt in cluster.attempts():
             attempts[attempt.request_id].append(attempt)
