--- a/tests/integration/test_client_disconnect.py
+++ b/tests/integration/test_client_disconnect.py
@@ -36,7 +36,7 @@
 def retry_after_pause(event: Event) -> Iterator[Action]:
     """Add to the counter, start an attempt on the reply, and another one after a timer on its failure.
 
-    The request ID is also the counter name and the timer token.
+    The request ID is also the name of the total and the timer token.
     """
     match event:
         case Request():
--- a/tests/policy/test_counter_window.py
+++ b/tests/policy/test_counter_window.py
@@ -9,7 +9,7 @@
 from tests.support.gateway_driver import MS, SECOND, START, CounterTotals
 
 LENGTH, MAX_CALL_DELAY = 8 * SECOND, 80 * MS
-COUNTER_NAME = 7
+TOTAL_NAME = 7
 BOUNDARY = START - START % LENGTH + LENGTH  # first window boundary after START, by an accurate clock
 
 
@@ -63,7 +63,7 @@
         gateway = random.randrange(2)
         window, local_time = windows[gateway], now + clock_steps[gateway]
         window.restart_if_expired(local_time)
-        total = totals.add(CounterAdd(COUNTER_NAME, 1.0, window.lifetime(local_time)), now)
+        total = totals.add(CounterAdd(TOTAL_NAME, 1.0, window.lifetime(local_time)), now)
         seen[gateway] += window.apply_total(1.0, total, local_time).added_by_others
         added[gateway] += 1.0
     for gateway in (0, 1):
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -56,10 +56,10 @@
     replies = run_adapter(*batches)
     count, length = struct.unpack_from("<II", replies, REPLY_HEADER_BYTES)
     assert count == 1
-    code, instance, counter_name, amount, _ = struct.unpack_from("<HIQfI", replies, 2 * REPLY_HEADER_BYTES)
+    code, instance, total_name, amount, _ = struct.unpack_from("<HIQfI", replies, 2 * REPLY_HEADER_BYTES)
     assert (code, instance, amount) == (4, INSTANCE, 1.0)
     assert length == 22
-    counter_reply = struct.pack("<HIHIfQ", 10, INSTANCE, 200, 900, 1.0, counter_name)
+    counter_reply = struct.pack("<HIHIfQ", 10, INSTANCE, 200, 900, 1.0, total_name)
     reply = run_adapter(*batches, frame(counter_reply))[len(replies) :]
     code, instance, request, address, _ = struct.unpack_from("<HII6sI", reply, len(reply) - 20)
     assert (code, instance, request, address) == (10, INSTANCE, 7, ADDRESS)
