--- a/tests/integration/soak.py
+++ b/tests/integration/soak.py
@@ -101,7 +101,7 @@
             await self._disrupt(cluster)
         if random.random() < 0.5:
             for server in cluster.rate_servers[: random.randrange(1, 4)]:
-                server.hangs = True
+                server.silent = True
         exit_status = await self._shut_down(process)
         self._is_stopped = True
         process.kill()
@@ -125,7 +125,7 @@
         return process.poll()
 
     async def _disrupt(self, cluster: GatewayCluster) -> None:
-        """Reload the configuration, drain or hang a server, reset connections, stall gateway or counter."""
+        """Reload, drain or silence a server, reset connections, stall the gateway or change the counter."""
         random, process = self._random, cluster.processes[0]
         server = random.choice(cluster.rate_servers)
         match random.randrange(6):
@@ -138,7 +138,7 @@
                 cluster.discovery.publish(server)
                 server.draining_since = asyncio.get_running_loop().time()
             case 2:
-                server.hangs = not server.hangs
+                server.silent = not server.silent
             case 3:
                 for connection in list(server.connections):
                     connection.transport.abort()
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -23,17 +23,17 @@
 def test_unresponsive_endpoint_gets_fewer_attempts() -> None:
     """Abandoned attempts still wait at an endpoint that does not respond, so they count as in flight."""
     driver = Driver(replace(SETTINGS, limits=Limits(max_attempts=1)), endpoint_count=2)
-    unresponsive = ready_endpoint(1).name
+    silent = ready_endpoint(1).name
     for n in range(200):
         driver.request(tenant=n)
         driver.counter_reply(1.0) if driver.counter_calls else None
         driver.wait(50 * MS)
         for tracked in list(driver.requests.values()):
             for attempt in sorted(tracked.in_flight):
-                if tracked.attempts[attempt].endpoint != unresponsive:
+                if tracked.attempts[attempt].endpoint != silent:
                     driver.finish_attempt(tracked.request.id, Result.OK, attempt)
     attempts = [a.endpoint for a in driver.actions if isinstance(a, StartAttempt)]
-    assert attempts.count(unresponsive) < 15 < 150 < len(attempts)
+    assert attempts.count(silent) < 15 < 150 < len(attempts)
 
 
 def test_abandoned_attempts_at_an_endpoint_without_responses_are_forgotten() -> None:
--- a/tests/support/rate_server.py
+++ b/tests/support/rate_server.py
@@ -49,10 +49,10 @@
 
 
 class RateServer:
-    """Responds to each request with its ID after `service_time_s`; not at all while it hangs."""
+    """Responds to each request with its ID after `service_time_s`; not at all while it is silent."""
 
     def __init__(self, name: str, service_time_s: float) -> None:
-        self.name, self.service_time_s, self.hangs = name, service_time_s, False
+        self.name, self.service_time_s, self.silent = name, service_time_s, False
         self.started_at_ms, self.lifecycle = 0, "SERVING"
         self.draining_since = math.inf  # when discovery published the draining state
         self.value = b""  # of each response; the request's ID if empty
@@ -76,7 +76,7 @@
         attempt = Attempt(self.name, words[2], int(time_remaining[1]), loop.time())
         self.attempts.append(attempt)
         connection.in_flight.append(attempt)
-        if not self.hangs:
+        if not self.silent:
             loop.call_later(self.service_time_s, self._respond, connection, reply, attempt)
 
     def _respond(self, connection: _Connection, reply: PendingReply, attempt: Attempt) -> None:
