--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -50,7 +50,7 @@
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
-    def add(self, total_name: int, amount: float, _lifetime: int) -> None:
+    def add(self, total_name: int, amount: float, _lifetime_us: int) -> None:
         self._engine.post(CounterReply(total_name, Result.OK, 0, amount))
 
 
