--- a/rushroad/bench/stand_ins/rate_servers.py
+++ b/rushroad/bench/stand_ins/rate_servers.py
@@ -18,7 +18,7 @@
 MAX_RATE_SERVERS = 1 << 22
 BACKLOG = 4_096  # connections waiting to be accepted
 MAX_ARGUMENTS = 16  # of a command, including its name
-LATE_AFTER_S = 0.55  # after a removal: drain grace period plus slack; no attempt may arrive later
+LATE_AFTER_S = 0.55  # after a removal: drain grace plus slack; no attempt may arrive later
 ARGUMENT_COUNTS = {b"CALL.GET": 4, b"CALL.POST": 5}
 FIXED_REPLIES = {b"PING": b"+PONG\r\n", b"INFO": b"-NOPERM\r\n", b"CLIENT": b"+OK\r\n", b"SELECT": b"+OK\r\n"}
 
--- a/rushroad/proxy/discovery.py
+++ b/rushroad/proxy/discovery.py
@@ -29,7 +29,7 @@
 # has it, even if it has not arrived.
 SILENCE_TIMEOUT_S = 4.2
 RESPONSE_TIMEOUT_S = 0.3  # for the local agent to establish a watch, before another one is opened
-# The reconnect delays are short because a drain, which has a short grace period, may be missed meanwhile.
+# The reconnect delays are short because a drain may be missed meanwhile, and the drain grace is short.
 INITIAL_RECONNECT_DELAY_S = 0.1
 MAX_RECONNECT_DELAY_S = 0.2
 MAX_PENDING_WATCHES = 6  # watches not established yet; beyond that the oldest is closed
--- a/rushroad/proxy/upstream.py
+++ b/rushroad/proxy/upstream.py
@@ -123,7 +123,7 @@
         finally:
             self._connecting.pop(attempt, None)
         if not connection.is_open() or pool.stopped:
-            # A draining endpoint accepts requests until its grace period ends, but the gateway does not know
+            # A draining endpoint accepts requests until its drain grace ends, but the gateway does not know
             # when the drain began, so it sends none from the moment it learns of the drain.
             connection.close()
             self.finish(attempt, failure)
--- a/tests/bench/stand_ins/test_rate_servers.py
+++ b/tests/bench/stand_ins/test_rate_servers.py
@@ -26,7 +26,7 @@
         return self.now
 
 
-def test_an_attempt_is_late_only_after_the_grace_period_of_the_removal() -> None:
+def test_an_attempt_is_late_only_after_the_drain_grace_and_slack_of_its_removal() -> None:
     clock = ManualClock()
     rate_servers = RateServers(0.0, False, cast(asyncio.AbstractEventLoop, clock))
     rate_servers.record_removal([4])
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -151,7 +151,7 @@
             pass
         assert ended[0] is not first
 
-    # 0.5 s is the shortest grace period of a drain in any known settings.
+    # 0.5 s is the shortest drain grace in any known settings.
     assert discovery_module.RESPONSE_TIMEOUT_S + discovery_module.MAX_RECONNECT_DELAY_S <= 0.5
     run_watch_scenario(scenario)
 
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -57,7 +57,7 @@
 def test_connection_established_after_its_endpoint_drains_or_is_removed_is_not_used(
     state: EndpointState,
 ) -> None:
-    # Not even within the grace period of a drain, which starts when the agent learns of the drain: a gateway
+    # Not even within the drain grace, which starts when the agent learns of the drain: a gateway
     # may learn of it later.
     async def scenario(harness: UpstreamHarness, peer: Peer) -> None:
         harness.send(size=11)
