--- a/tests/policy/test_endpoint_table.py
+++ b/tests/policy/test_endpoint_table.py
@@ -34,7 +34,7 @@
         for endpoint in endpoints
         if endpoint.name in subset
     ][:3]
-    driver.rules.unavailable_since.update((endpoint.name, driver.now) for endpoint in draining)
+    driver.rules.not_ready_since.update((endpoint.name, driver.now) for endpoint in draining)
     driver.handle(EndpointUpdate(UpdateKind.SNAPSHOT, 2, tuple(draining), is_last_part=False))
     driver.wait(1 * SECOND)
     for tenant in range(30):
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -47,7 +47,7 @@
         self.settings = settings
         self.requests: dict[int, TrackedRequest] = {}
         self.endpoints: dict[str, Endpoint] = {}
-        self.unavailable_since: dict[str, int] = {}  # draining or removed endpoints
+        self.not_ready_since: dict[str, int] = {}  # draining or removed endpoints
         # By tenant: units left of this gateway's share of the ceiling, and when they were last updated.
         self._ceilings: dict[int, tuple[float, int]] = {}
 
@@ -56,13 +56,13 @@
         if update.kind is not UpdateKind.DELTA:
             listed = {entry.name for entry in update.endpoints}
             for name in [name for name in self.endpoints if name not in listed]:
-                self.unavailable_since.setdefault(name, now)
+                self.not_ready_since.setdefault(name, now)
         for entry in update.endpoints:
             self.endpoints[entry.name] = entry
             if entry.state is EndpointState.READY:
-                self.unavailable_since.pop(entry.name, None)
+                self.not_ready_since.pop(entry.name, None)
             else:
-                self.unavailable_since.setdefault(entry.name, now)
+                self.not_ready_since.setdefault(entry.name, now)
 
     def check_answered_in_time(self, now: int) -> None:
         """Raise if a request has no answer although its deadline and the answer slack have passed."""
@@ -101,8 +101,8 @@
             raise RuleViolationError(
                 f"request {action.request_id} has more than {limits.max_attempts} attempts"
             )
-        unavailable_since = self.unavailable_since.get(action.endpoint, now)
-        if now > unavailable_since + self.settings.safety.drain_grace:
+        not_ready_since = self.not_ready_since.get(action.endpoint, now)
+        if now > not_ready_since + self.settings.safety.drain_grace:
             raise RuleViolationError(f"attempt at {action.endpoint} after its drain grace")
         self._check_possible_executions(tracked, action, now)
         if not tracked.attempts:
