--- a/rushroad/bench/real/gateway_processes.py
+++ b/rushroad/bench/real/gateway_processes.py
@@ -99,7 +99,7 @@
         file.write_text(json.dumps(configuration))
         return file
 
-    def wait_ready(self) -> float:
+    def wait_until_ready(self) -> float:
         """Wait until the gateway answers PING; returns the seconds since its start.
 
         Raises RuntimeError if the process exits, RunLimitExceededError after START_TIMEOUT_S.
@@ -117,7 +117,7 @@
             time.sleep(RETRY_INTERVAL_S)
         raise RunLimitExceededError(f"gateway {self.index} did not answer PING within {START_TIMEOUT_S:g} s")
 
-    def wait_serving(self, timeout_s: float) -> float | None:
+    def wait_until_serving(self, timeout_s: float) -> float | None:
         """Return the seconds from the start to the first request served; None on a timeout."""
         host, _, port = self.address.partition(":")
         deadline, request_number = time.monotonic() + timeout_s, 0
@@ -160,7 +160,7 @@
                 return int(line.split()[1]) * 1024
         raise RuntimeError(f"/proc/{self.process.pid}/status has no VmHWM")
 
-    def wait_exited(self, timeout_s: float) -> None:
+    def wait_for_exit(self, timeout_s: float) -> None:
         """Wait for the process to exit after SIGTERM; kill it after the timeout."""
         try:
             self.process.wait(max(0.0, timeout_s))
@@ -200,11 +200,11 @@
             gateway.process.terminate()
         deadline = time.monotonic() + STOP_TIMEOUT_S
         for gateway in self.gateways:
-            gateway.wait_exited(deadline - time.monotonic())
+            gateway.wait_for_exit(deadline - time.monotonic())
 
-    def wait_ready(self) -> list[float]:
+    def wait_until_ready(self) -> list[float]:
         """Wait until all gateways answer PING; returns the seconds that each took from its start."""
-        return [gateway.wait_ready() for gateway in self.gateways]
+        return [gateway.wait_until_ready() for gateway in self.gateways]
 
     def cpu_seconds(self) -> float:
         """Return the CPU time of all gateways together."""
--- a/rushroad/bench/real/measurements.py
+++ b/rushroad/bench/real/measurements.py
@@ -35,7 +35,7 @@
     """Measure the gateways without load, then under load."""
     with run_scenario(scenario) as processes:
         fleet = processes.fleet
-        ready_s = max(fleet.wait_ready())
+        ready_s = max(fleet.wait_until_ready())
         fleet.monitor(SETTLE_S)
         churn = SetEndpointChurn(changes_per_s=scenario.list_changes_per_s)
         processes.stand_ins.call(churn, Done)
@@ -112,8 +112,8 @@
     """Measure the start time and the peak memory of a gateway with an endpoint list of this size."""
     with run_scenario(scenario) as processes:
         fleet = processes.fleet
-        (ready_s,) = fleet.wait_ready()
-        serving_s = fleet.gateways[0].wait_serving(SERVING_TIMEOUT_S)
+        (ready_s,) = fleet.wait_until_ready()
+        serving_s = fleet.gateways[0].wait_until_serving(SERVING_TIMEOUT_S)
         fleet.monitor(SETTLE_S)
         return StartRow(
             **structs.asdict(condition),
@@ -156,7 +156,7 @@
     burst = min(burst, scenario.size.rate_servers // 2)
     with run_scenario(scenario) as processes, Worker("rushroad.bench.load") as pinger:
         fleet = processes.fleet
-        fleet.wait_ready()
+        fleet.wait_until_ready()
         fleet.monitor(SETTLE_S)
         pinger.call(StartPings(gateway=fleet.gateways[0].address), Done)
         processes.start_load(4 * observation_s)  # outlasts the three observations
