--- a/rushroad/bench/real/commands.py
+++ b/rushroad/bench/real/commands.py
@@ -176,10 +176,10 @@
     run = Run("whole-list", seed, {"servers": servers, "fleet": fleet})
     for count in parse_numbers(servers):
         from_discovery = Scenario(
-            parse_fleet_size(f"{fleet}/{int(count)}"), list_configured=False, work_ms=0.0, seed=seed
+            parse_fleet_size(f"{fleet}/{int(count)}"), has_cached_snapshot=False, work_ms=0.0, seed=seed
         )
         for source, scenario in (
-            ("known", replace(from_discovery, list_configured=True)),
+            ("known", replace(from_discovery, has_cached_snapshot=True)),
             ("compact", from_discovery),
             ("indented", replace(from_discovery, list_indent=1)),
         ):
--- a/rushroad/bench/real/gateway_processes.py
+++ b/rushroad/bench/real/gateway_processes.py
@@ -49,7 +49,7 @@
 
     discovery: str
     counter: str
-    known_endpoints: Mapping[str, Any]  # the endpoint list, with the field names of the published protocol
+    cached_snapshot: Mapping[str, Any]  # with the field names of the published protocol
     folder: Path  # for configuration files and logs
 
 
@@ -91,7 +91,7 @@
             "discovery": fleet_configuration.discovery,
             "counter": fleet_configuration.counter,
             "seed": f"{self.index + 1:016x}",
-            "known": fleet_configuration.known_endpoints,
+            "known": fleet_configuration.cached_snapshot,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1_024},
             "settings": gateway_settings(fleet_size, self.index),
         }
--- a/rushroad/bench/real/scenario.py
+++ b/rushroad/bench/real/scenario.py
@@ -44,7 +44,7 @@
     work_ms: float = 20.0  # service time of a request at a rate server
     list_changes_per_s: float = 0.0
     list_indent: int | None = None  # of discovery's JSON; None puts each message on one line
-    list_configured: bool = True  # the configuration has the endpoint list; else discovery sends all of it
+    has_cached_snapshot: bool = True  # in the configuration; else discovery sends the whole endpoint list
     seed: int = 1
 
     def parameters(self) -> dict[str, Any]:
@@ -58,7 +58,7 @@
             "work_ms": self.work_ms,
             "changes": self.list_changes_per_s,
             "indent": self.list_indent,
-            "known": self.list_configured,
+            "known": self.has_cached_snapshot,
             "seed": self.seed,
         }
 
@@ -117,18 +117,18 @@
         )
         addresses = stand_ins.call(command, StandInAddresses)
         fleet_configuration = FleetConfiguration(
-            addresses.discovery, addresses.counter, _known_endpoints(scenario, addresses), Path(folder)
+            addresses.discovery, addresses.counter, _cached_snapshot(scenario, addresses), Path(folder)
         )
         with RealFleet(scenario.gateways, scenario.size.gateways, fleet_configuration) as fleet:
             yield RunningScenario(scenario, stand_ins, clients, fleet)
 
 
-def _known_endpoints(scenario: Scenario, addresses: StandInAddresses) -> dict[str, Any]:
-    """Return the endpoint list for the gateways' configuration, as a message of discovery's watch."""
+def _cached_snapshot(scenario: Scenario, addresses: StandInAddresses) -> dict[str, Any]:
+    """Return the cached snapshot for the gateways' configuration, as a message of discovery's watch."""
     port = int(addresses.first_rate_server.rpartition(":")[2])
-    indices = range(scenario.size.rate_servers if scenario.list_configured else 0)
+    indices = range(scenario.size.rate_servers if scenario.has_cached_snapshot else 0)
     return {
-        "generation": int(scenario.list_configured),
+        "generation": int(scenario.has_cached_snapshot),
         "reset": True,
         "instances": [endpoint_entry(index, rate_server_address(index, port)) for index in indices],
     }
--- a/tests/bench/real/test_measurements.py
+++ b/tests/bench/real/test_measurements.py
@@ -7,11 +7,11 @@
 from rushroad.bench.real.scenario import Scenario
 
 
-@pytest.mark.parametrize("list_configured", [True, False])
+@pytest.mark.parametrize("has_cached_snapshot", [True, False])
 def test_a_gateway_serves_with_its_endpoint_list_from_the_configuration_or_from_discovery(
-    list_configured: bool,
+    has_cached_snapshot: bool,
 ) -> None:
-    scenario = Scenario(parse_fleet_size("4900/60"), list_configured=list_configured, work_ms=0.0)
+    scenario = Scenario(parse_fleet_size("4900/60"), has_cached_snapshot=has_cached_snapshot, work_ms=0.0)
     row = measure_start(scenario)
     assert row.serving_s != "never"
     assert row.peak_mb > 0
