--- a/rushroad/bench/real/gateway_processes.py
+++ b/rushroad/bench/real/gateway_processes.py
@@ -50,7 +50,7 @@
     discovery: str
     counter: str
     cached_snapshot: Mapping[str, Any]  # with the field names of the published protocol
-    folder: Path  # for configuration files and logs
+    directory: Path  # for configuration files and logs
 
 
 class RealGateway:
@@ -62,7 +62,7 @@
             self.address = f"{host}:{listener.getsockname()[1]}"
         self.index = index
         configuration = self._write_configuration(fleet_size, fleet_configuration)
-        self._log = (fleet_configuration.folder / f"n{index}.log").open("w+b")
+        self._log = (fleet_configuration.directory / f"n{index}.log").open("w+b")
         environment = {
             "EDGE_NAME": f"n{index}",
             "EDGE_LISTEN": self.address,
@@ -95,7 +95,7 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1_024},
             "settings": gateway_settings(fleet_size, self.index),
         }
-        file = fleet_configuration.folder / f"n{self.index}.json"
+        file = fleet_configuration.directory / f"n{self.index}.json"
         file.write_text(json.dumps(configuration))
         return file
 
--- a/rushroad/bench/real/scenario.py
+++ b/rushroad/bench/real/scenario.py
@@ -104,7 +104,7 @@
     with (
         sigterm_as_exit(),
         time_limit(TIME_LIMIT_S + scenario.seconds),
-        tempfile.TemporaryDirectory(prefix="rushroad-bench-") as folder,
+        tempfile.TemporaryDirectory(prefix="rushroad-bench-") as directory,
         Worker("rushroad.bench.stand_ins") as stand_ins,
         Worker("rushroad.bench.load") as clients,
     ):
@@ -117,7 +117,7 @@
         )
         addresses = stand_ins.call(command, StandInAddresses)
         fleet_configuration = FleetConfiguration(
-            addresses.discovery, addresses.counter, _cached_snapshot(scenario, addresses), Path(folder)
+            addresses.discovery, addresses.counter, _cached_snapshot(scenario, addresses), Path(directory)
         )
         with RealFleet(scenario.gateways, scenario.size.gateways, fleet_configuration) as fleet:
             yield RunningScenario(scenario, stand_ins, clients, fleet)
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -167,8 +167,8 @@
 
 def test_engine_supports_every_action_that_the_policy_uses() -> None:
     code = Path(rushroad.proxy.engine.__file__).read_text()
-    folder = Path(rushroad.policy.gateway.__file__).parent
-    policy = "".join(file.read_text() for file in folder.glob("*.py") if file.name != "actions.py")
+    directory = Path(rushroad.policy.gateway.__file__).parent
+    policy = "".join(file.read_text() for file in directory.glob("*.py") if file.name != "actions.py")
     for action in typing.get_args(Action):
         if re.search(rf"\b{action.__name__}\(", policy):
             assert f"case {action.__name__}()" in code
--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize("former_name", FORMER_NAMES)
 def test_no_file_contains_a_former_name(former_name: str) -> None:
     pages = [*(ROOT / "docs").glob("*.md"), *(ROOT / "deploy").rglob("*.*"), *ROOT.glob("*.*")]
-    code = [path for folder in ("rushroad", "tests") for path in (ROOT / folder).rglob("*.*")]
+    code = [path for directory in ("rushroad", "tests") for path in (ROOT / directory).rglob("*.*")]
     texts = [path for path in (*pages, *code, ROOT / ".ci/run") if path.is_file() and path.suffix != ".pyc"]
     assert [str(path) for path in texts if former_name in path.read_text().lower() + path.name.lower()] == []
 
