--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -40,7 +40,7 @@
 
 def test_endpoint_that_is_warming_up_gets_less_than_a_warm_one() -> None:
     driver = Driver(endpoint_count=3)
-    cold = ready_endpoint(9).name
+    warming_up = ready_endpoint(9).name
     for n in range(400):
         if n == 200:
             driver.update_endpoints(structs.replace(ready_endpoint(9), started_at=driver.now))
@@ -48,9 +48,9 @@
         driver.now += 25 * MS
         driver.finish_attempt(attempt.request_id)
     attempts = [a for a in driver.actions if isinstance(a, StartAttempt)][200:]
-    to_cold = sum(attempt.endpoint == cold for attempt in attempts)
+    attempts_at_it = sum(attempt.endpoint == warming_up for attempt in attempts)
     # 5 s at less than 2 x 0.5 of a warm endpoint's share of this gateway's 40 requests per second
-    assert 0 < to_cold < 5 * 40 / 3
+    assert 0 < attempts_at_it < 5 * 40 / 3
 
 
 def test_endpoint_that_is_warming_up_gets_some_load_but_not_too_much_from_hundreds_of_gateways() -> None:
@@ -67,18 +67,18 @@
             driver.finish_all()
             driver.wait(900 * MS)
     # 200 responses per second from 10 endpoints: 20 each. One restarts, which is reported at once.
-    cold_attempts = 0
+    attempts_at_it = 0
     for driver in gateways:
         driver.update_endpoints(ready_endpoint(1, started_at=driver.now))
     rounds = 10  # in each, about one in eight of the gateways that may use the endpoint does
     for _ in range(rounds):
         for driver in gateways:
-            cold_attempts += driver.admit().endpoint == ready_endpoint(1).name
+            attempts_at_it += driver.admit().endpoint == ready_endpoint(1).name
             driver.wait(100 * MS)
             driver.finish_all()
             driver.wait(900 * MS)
     safety = LARGE_FLEET.safety
-    assert 0 < cold_attempts < safety.overload_multiple * safety.initial_capacity * 20 * rounds
+    assert 0 < attempts_at_it < safety.overload_multiple * safety.initial_capacity * 20 * rounds
 
 
 @pytest.mark.parametrize("restarted", [5, 9, 10])
@@ -89,12 +89,12 @@
     gateways = [Driver(each, ENDPOINTS, seed) for seed, each in enumerate(settings)]
     run_fleet(gateways, 10 * SECOND)
     warm_rate = GATEWAYS * (SECOND / ROUND) / ENDPOINTS  # requests per second at a warm endpoint
-    cold = [ready_endpoint(number + 1, started_at=gateways[0].now) for number in range(restarted)]
+    warming_up = [ready_endpoint(number + 1, started_at=gateways[0].now) for number in range(restarted)]
     for driver in gateways:
-        driver.update_endpoints(*cold)
+        driver.update_endpoints(*warming_up)
     safety = NO_QUOTA.safety
     started = run_fleet(gateways, safety.overload_window, requests=2)  # in a burst
     warm_up_progress = safety.overload_window / safety.warm_up_time
     capacity = safety.initial_capacity + (1 - safety.initial_capacity) * warm_up_progress
     budget = safety.overload_multiple * capacity * warm_rate * safety.overload_window / SECOND
-    assert 0 < max(started[entry.name] for entry in cold) <= budget + 2 * sqrt(budget) + 2
+    assert 0 < max(started[entry.name] for entry in warming_up) <= budget + 2 * sqrt(budget) + 2
