--- a/rushroad/bench/stand_ins/counter.py
+++ b/rushroad/bench/stand_ins/counter.py
@@ -62,7 +62,7 @@
             self._transport.abort()
 
     def _handle_call(self, line: bytes) -> None:
-        pending, reply = self._replies.reserve(), self._counter.execute(line)
+        pending, reply = self._replies.reserve(), self._counter.reply(line)
         if reply.mode is CounterMode.SLOW:
             delay_s = self._counter.slow_delay_s
             self._counter.loop.call_later(delay_s, self._replies.complete, pending, reply.text)
@@ -99,7 +99,7 @@
         normal = CounterMode.NORMAL
         self._modes = [mode if shard < shards else normal for shard in range(len(self._modes))]
 
-    def execute(self, line: bytes) -> ShardReply:
+    def reply(self, line: bytes) -> ShardReply:
         """Execute the call on a line and return its reply, which is an error if the call is malformed."""
         mode, text = self._handle(line)
         self.stats.bytes_out += len(text)
